--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -53,6 +53,27 @@
 	}
 }
 
+// A region's process ends as soon as it has written its last snapshot, and the run may read that snapshot only
+// after the process has ended. The pipe was closed by then now and then, the last snapshot was lost, and
+// TestSmallShare failed after a whole run with "a region's process ended early".
+func TestLastSnapshotAfterTheProcessEnded(t *testing.T) {
+	script := `read config; echo '{}'; read command; echo '{"Started": 7}'`
+	r := &run{opt: Options{Region: []string{"sh", "-c", script}}}
+	g := &regionRun{}
+	r.regions = append(r.regions, g)
+	defer r.close()
+	if err := r.startRegion(g, RegionConfig{}); err != nil {
+		t.Fatal(err)
+	}
+	if err := g.commands.Encode(Command{Start: true}); err != nil {
+		t.Fatal(err)
+	}
+	<-g.process.ended
+	if !g.lines.Scan() || g.lines.Text() != `{"Started": 7}` {
+		t.Errorf("the last snapshot is %q, err %v", g.lines.Text(), g.lines.Err())
+	}
+}
+
 // What can't be played is told before anything starts.
 func TestOptions(t *testing.T) {
 	good := Options{Share: 0.02, For: time.Minute, Peak: 20 * time.Second}
