--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -31,6 +31,7 @@
 	plan        Plan
 	process     *process
 	commands    *json.Encoder
+	output      *os.File // what its process writes, read through lines
 	lines       *bufio.Scanner
 	addrs       Addresses
 	settings    string // path of its controllers' settings
@@ -125,6 +126,9 @@
 			c.process.end(syscall.SIGTERM)
 		}
 		g.process.end(syscall.SIGTERM)
+		if g.output != nil {
+			_ = g.output.Close()
+		}
 	}
 	_ = os.RemoveAll(r.dir)
 }
@@ -200,14 +204,19 @@
 	if err != nil {
 		return err
 	}
-	out, err := cmd.StdoutPipe()
+	// Guard: Wait closes the pipe of StdoutPipe when the process ends, although its last snapshot may not have
+	// been read yet; the run then failed at its end (TestLastSnapshotAfterTheProcessEnded).
+	output, write, err := os.Pipe()
 	if err != nil {
 		return err
 	}
-	if g.process, err = start(cmd); err != nil {
+	g.output, cmd.Stdout = output, write
+	g.process, err = start(cmd)
+	_ = write.Close() // the process has its own
+	if err != nil {
 		return err
 	}
-	g.commands, g.lines = json.NewEncoder(in), bufio.NewScanner(out)
+	g.commands, g.lines = json.NewEncoder(in), bufio.NewScanner(output)
 	g.lines.Buffer(nil, 64<<20)
 	if err := g.commands.Encode(cfg); err != nil {
 		return err
