--- a/internal/placement/placement_rule.go
+++ b/internal/placement/placement_rule.go
@@ -8,30 +8,30 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// minimumBilledTime is how long a machine is paid for at least. A task that runs longer decides how long its
-// machine is kept.
+// minimumBilledTime is the shortest time that is billed for a machine. A task that runs longer determines how
+// long its machine is kept.
 const minimumBilledTime = time.Minute
 
-// usable tells whether tasks may be started on a machine at all.
+// usable reports whether tasks may be started on a machine at all.
 func (m *Machine) usable() bool {
 	return m.Phase == Current && m.Recorded && !m.Cordoned && !m.ScaleIn && m.drain == nil && m.Notice < 0 && m.orphans == 0 &&
 		!m.MissedHeartbeats && !m.Unreachable && !m.cyclesControllers
 }
 
-// fits tells whether a job's task may start on a machine now, given its other bound tasks.
+// fits reports whether a task of a job may start on a machine now, given the job's other bound tasks.
 func (cs *ClusterState) fits(j *Job, m *Machine, now time.Time) bool {
 	return m.usable() && j.allowsMarket(m.Spot) && j.Spec.Size.Fits(cs.free(m, j, now)) &&
 		slices.Contains(cs.poolsFor(j), m.Pool) && j.zoneAllows(m.Pool.Zone)
 }
 
-// allowsMachine tells whether a machine is in one of a job's pools, of a market that the job allows, and, if a
-// zone is named, in that zone.
+// allowsMachine reports whether a machine is in one of the given pools, of a market that the job allows, and, if
+// zone isn't empty, in that zone.
 func (j *Job) allowsMachine(m *Machine, pools []model.Pool, zone string) bool {
 	return j.allowsMarket(m.Spot) && (zone == "" || m.Pool.Zone == zone) && slices.Contains(pools, m.Pool)
 }
 
-// zoneAllows checks the job's own rules about zones. All bound tasks count, those of old attempts and on
-// unreachable machines included.
+// zoneAllows reports whether the job's own zone rules allow one more task in a zone. All bound tasks count,
+// including those of old attempts and those on unreachable machines.
 func (j *Job) zoneAllows(zone string) bool {
 	if !j.Spec.OneZone && !j.Spec.Spread {
 		return true
@@ -47,19 +47,20 @@
 	return inZone < j.Spec.ZoneCap()
 }
 
-// machineScore is what a sampled machine is chosen by for a task of a job.
+// machineScore is the score by which a machine is chosen among the sampled ones for a task of a job.
 type machineScore struct {
 	jobFailedHere        bool
-	replicaLoss          time.Duration // expected, of a replica
+	replicaLoss          time.Duration // the time that a replica is expected to lose here; 0 for other tasks
 	missesStartObjective bool          // the fetch of the image takes longer than the job's class may wait
-	price                float64       // per hour and CPU, for a task that keeps its machine
-	needsFetch           bool          // the image is missing
-	usedShare            float64
-	slots                int
+	price                float64       // per hour and CPU; 0 for a job that isn't placed by price
+	needsFetch           bool          // the machine doesn't have the image
+	usedShare            float64       // of the machine
+	slots                int           // for tasks of this size on an empty machine of this type
 }
 
-// compare orders the better score first. Share and slots are the paper's rule: the lowest share in use wins;
-// ties go to the machine type with more slots for this task. What is compared before them are our exceptions.
+// compare orders the better score first. The used share and the slots are the rule of the paper that this
+// scheduler follows: the machine with the lowest used share wins; ties go to the machine type with more slots
+// for this task. The fields that are compared before them are exceptions to that rule.
 func (s machineScore) compare(other machineScore) int {
 	return cmp.Or(
 		cmp.Compare(trueFirst(!s.jobFailedHere), trueFirst(!other.jobFailedHere)),
@@ -72,7 +73,7 @@
 	)
 }
 
-// scoreOf scores a machine for a task of a job.
+// scoreOf returns the score of a machine for a task of a job.
 func (cs *ClusterState) scoreOf(job *Job, machine *Machine, now time.Time) machineScore {
 	machineType := cs.types[machine.Pool.Type]
 	score := machineScore{
@@ -94,7 +95,7 @@
 	return score
 }
 
-// choose returns the best of the sampled machines on which a task of a job may start; nil if there is none.
+// choose returns the best of the sampled machines on which a task of a job may start, or nil if there is none.
 func (cs *ClusterState) choose(job *Job, sampled []*Machine, now time.Time) *Machine {
 	var best *Machine
 	var bestScore machineScore
@@ -109,10 +110,10 @@
 	return best
 }
 
-// price is what a machine costs per hour and CPU.
+// price returns the price of a machine per hour and CPU.
 func (cs *ClusterState) price(m *Machine) float64 { return cs.priceOf(m.Pool, m.Spot) }
 
-// priceOf is what a pool's spot or on-demand machines cost per hour and CPU.
+// priceOf returns the price of a pool's spot or on-demand machines per hour and CPU.
 func (cs *ClusterState) priceOf(pool model.Pool, spot bool) float64 {
 	machineType := cs.types[pool.Type]
 	if spot {
--- a/internal/placement/queue.go
+++ b/internal/placement/queue.go
@@ -8,18 +8,19 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// queueKey is what orders a pending job in the queue, before its age.
+// queueKey holds the values by which a pending job is ordered in the queue before its age is compared.
 type queueKey struct {
 	boostedSince time.Time // orders the jobs with a deadline boost; zero: the job has none
 	priority     int
-	guaranteed   int // 0: within its team's guarantee, which comes first; else 1
+	guaranteed   int // 0: within its team's guarantee, which comes first; 1: not
 	served       float64
 	due          time.Time
-	waitsForSpot bool // only spot machines are requested for it; doesn't order the queue
+	waitsForSpot bool // only spot machines are requested for the job; not used for ordering
 }
 
-// compareQueued is the queue's order: jobs with a deadline boost, then priority, guarantee, the team that was
-// served least, due time, age. It is total, for the name decides in the end.
+// compareQueued defines the order of the queue: jobs with a deadline boost come first, then the order is by
+// priority, guarantee, least served team, due time and age. The order is total, because jobs that are otherwise
+// equal are ordered by ID.
 func compareQueued(x, y *Job) int {
 	return cmp.Or(
 		compareBoosts(x.queueKey.boostedSince, y.queueKey.boostedSince),
@@ -32,10 +33,10 @@
 	)
 }
 
-// queue returns the pending jobs in the queue's order. It computes their queue keys anew.
+// queue recomputes the queue keys of the pending jobs and returns these jobs in the queue's order.
 func (cs *ClusterState) queue(now time.Time) []*Job {
-	// Most of the last queue's order still holds, and sorting what is nearly sorted costs little. The order
-	// is total, so the result doesn't depend on where sorting started.
+	// Sorting starts from the last queue, because sorting a nearly sorted slice is cheap. The order is total,
+	// so the result doesn't depend on the initial order.
 	queue := slices.DeleteFunc(cs.lastQueue, func(job *Job) bool { return cs.jobs.At(job.Spec.ID) != job || !job.isPending(now) })
 	cs.queueCount++
 	for _, job := range queue {
@@ -62,18 +63,20 @@
 	return slices.Clone(queue)
 }
 
-// isPending tells whether a job has tasks that may be placed now.
+// isPending reports whether a job has tasks that may be placed now.
 func (j *Job) isPending(now time.Time) bool {
 	if j.Unplaced() <= 0 || now.Before(j.retryAt) {
 		return false
 	}
-	// A gang's old tasks keep their machines until they exit.
+	// A gang, or a suspected poison job, is not pending while any of its tasks is bound: the old tasks of a
+	// gang keep their machines until they exit.
 	return j.Spec.Shape != model.Gang && !j.SuspectedPoison() || j.bound.Len() == 0
 }
 
-// waitsForSpot tells whether only spot machines are requested for a job: an array of long tasks, for as long as
-// the operators say if it has no service-level objective, else for half of its slack. Meanwhile it may run
-// wherever there is free capacity.
+// waitsForSpot reports whether only spot machines are requested for a job. This holds for an array of long tasks
+// without a start objective: for the time that operators set (Options.Unhurried), but for no more than half of
+// the time within which the job is due, less the estimated run time. Meanwhile the job may still run wherever
+// there is free capacity.
 func (cs *ClusterState) waitsForSpot(job *Job, now time.Time) bool {
 	spec, objective := job.Spec, cs.opt.Aims[job.Spec.Class]
 	if !spec.Spot || spec.Shape != model.Array || spec.Estimate <= minimumBilledTime || objective.Wait > 0 ||
@@ -89,13 +92,13 @@
 	return now.Before(job.Accepted.Add(delay))
 }
 
-// allowsMarket tells whether a job's tasks may run on spot or on on-demand machines.
+// allowsMarket reports whether a job's tasks may run on spot machines, or on on-demand machines if spot is false.
 func (j *Job) allowsMarket(spot bool) bool { return !spot || j.Spec.Spot }
 
-// defaultDueWithin orders jobs without a deadline behind those with one.
+// defaultDueWithin is the due time of jobs without a deadline. It orders them behind jobs with one.
 const defaultDueWithin = 24 * time.Hour
 
-// sumRequested sums what each team's jobs request in all.
+// sumRequested computes the total size that each team's jobs request.
 func (cs *ClusterState) sumRequested() {
 	for _, usage := range cs.teamUsages {
 		usage.wanted = model.Size{}
@@ -107,12 +110,12 @@
 	}
 }
 
-// dueTime is when a job should be complete for the queue's order: by its deadline or, unless its team is
-// limited, by its class's objective. A job that can no longer meet these is ordered with those that have
-// neither: placing it sooner would only make others late.
+// dueTime returns the time by which the queue's order expects a job to be complete: its deadline or, unless its
+// team is limited, the objective of its class. A job that can no longer meet these is ordered with the jobs that
+// have neither, because placing it sooner would only make others late.
 //
-// Jobs without a due time go by age, but a job counts as younger by the work that it still needs of its team's
-// limit: while a limit holds a team back, short jobs go first, and long ones don't starve.
+// Jobs without a due time are ordered by age. A job counts as younger the more work, relative to its team's
+// limit, it still has to do: while a limit holds a team back, short jobs go first, and long jobs don't starve.
 func (cs *ClusterState) dueTime(job *Job, now time.Time, limited bool) time.Time {
 	within := job.dueWithin
 	objective := cs.opt.Aims[job.Spec.Class]
@@ -135,7 +138,7 @@
 	return job.Accepted.Add(wait)
 }
 
-// trueFirst is a sort key that orders what is true before what is false.
+// trueFirst returns a sort key that orders true before false.
 func trueFirst(first bool) int {
 	if first {
 		return 0
--- a/internal/placement/round.go
+++ b/internal/placement/round.go
@@ -9,26 +9,26 @@
 	"github.com/marlwood/marlwood/internal/peers/peerspb"
 )
 
-// plannedJob is a job that is tried in a sampling round, with the tasks that are tried.
+// plannedJob is a job that a sampling round tries to place, with the tasks that it tries.
 type plannedJob struct {
 	job       *Job
 	tasks     []int
-	fullScan  bool // the owners return all machines with free capacity, not a sample
+	fullScan  bool // the pool owners return all machines with free capacity, not a sample
 	requestID uint32
 
-	now     time.Time     // of placing
-	holders holderSampler // machines with the image
+	now     time.Time     // when the job is placed
+	holders holderSampler // samples the machines that have the job's image
 }
 
-// rescanAfter is how long a job that a full scan found no machine for isn't tried again while no event is
-// known that freed capacity.
+// rescanAfter is how long a job for which a full scan found no machine waits for the next scan, if no event
+// that may have freed capacity is recorded earlier.
 //
-// Guard: not all that frees capacity is an event: warm headroom that is released, a recall notice that is
-// withdrawn, a machine whose orphaned tasks are gone. In a quiet cluster a job waited for ever beside it.
+// Guard: some changes free capacity without an event: warm headroom is released, a recall notice is withdrawn,
+// the orphaned tasks of a machine are gone. In a quiet cluster a job waited forever beside such free capacity.
 const rescanAfter = 10 * time.Second
 
-// poolsFor returns the pools that a job's tasks may run on. It is computed once for each change of owners or
-// types; the caller must not change it.
+// poolsFor returns the pools that a job's tasks may run on. The result is cached until poolsGeneration changes;
+// the caller must not modify it.
 func (cs *ClusterState) poolsFor(job *Job) []model.Pool {
 	if job.poolsGeneration == cs.poolsGeneration && job.pools != nil {
 		return job.pools
@@ -50,20 +50,20 @@
 	return pools
 }
 
-// tasksWithinLimit is how many more tasks of a job its team's limit allows.
+// tasksWithinLimit returns how many more tasks of a job its team's limit allows.
 func (cs *ClusterState) tasksWithinLimit(j *Job) int {
 	return cs.tasksWithinLimitAfter(j, model.Size{})
 }
 
-// tasksWithinLimitAfter is the same after something else was promised to the team.
+// tasksWithinLimitAfter is like tasksWithinLimit, but counts the promised size as used by the team.
 func (cs *ClusterState) tasksWithinLimitAfter(job *Job, promised model.Size) int {
 	team := job.usage.team
 	tasks := tasksWithin(team.Limit, job.usage.size.Add(promised), job.Spec.Size, job.Unplaced())
 	return max(tasks, 0)
 }
 
-// tasksWithin is how many of n tasks of a size a limit leaves, beside what is used. A resource that has no
-// limit or that the tasks don't take doesn't count, nor does memory.
+// tasksWithin returns how many of n tasks of a size fit into a limit in addition to the used size. Resources
+// that are unlimited or that the tasks don't request are ignored, and so is memory.
 func tasksWithin(limit, used, size model.Size, n int) int {
 	if limit.CPUs > 0 && size.CPUs > 0 {
 		n = min(n, model.Size{CPUs: size.CPUs}.Slots(model.Size{CPUs: limit.CPUs - used.CPUs}))
@@ -74,7 +74,8 @@
 	return n
 }
 
-// pickTasks picks up to a number of tasks that are neither finished nor bound: those to be retried first.
+// pickTasks returns at most the given number of tasks that are neither finished nor bound. Tasks to be retried
+// come first.
 func (j *Job) pickTasks(most int) []int {
 	var picked []int
 	taken := map[int]bool{}
@@ -101,8 +102,8 @@
 	return picked
 }
 
-// SampleRequests starts a sampling round: it returns the requests for samples to send to the pools' owners.
-// While the cluster state is incomplete, or tasks of unknown jobs run, nothing may start.
+// SampleRequests starts a sampling round. It returns the sample requests to send to the owners of the pools.
+// It returns none while the cluster state is incomplete or tasks of unknown jobs run: nothing may start then.
 func (cs *ClusterState) SampleRequests(now time.Time) []*peerspb.Want {
 	cs.roundPlan = nil
 	cs.expireMisdirected(now)
@@ -129,8 +130,8 @@
 	return requests
 }
 
-// roundCandidates returns the pending jobs that may find capacity in this round, in the queue's order, with
-// what each asks of the round. Jobs that certainly find none are recorded as tried.
+// roundCandidates returns the pending jobs that may find capacity in this round, in the queue's order, and for
+// each the number of tasks to try. Jobs that certainly find no capacity are recorded as tried.
 func (cs *ClusterState) roundCandidates(now time.Time) (pending []*Job, candidates []fairqueue.Candidate) {
 	for _, job := range cs.queue(now) {
 		tasks := cs.tasksWithinLimit(job)
@@ -138,7 +139,7 @@
 		case tasks == 0, job.Spec.Shape == model.Gang && tasks < job.Unplaced(): // a gang starts whole or not at all
 			continue
 		case job.emptyRounds > cs.opt.ScanAfter && job.triedAtEvent == cs.capacityEvents && now.Sub(job.lastScan) < rescanAfter:
-			job.lastTurn = cs.roundNumber // nothing is known to have changed since: another scan would only cost time
+			job.lastTurn = cs.roundNumber // no event since the last scan: another scan would only cost time
 			continue
 		case !cs.mayFit(job, now):
 			cs.recordNoCapacity(job, now)
@@ -152,7 +153,7 @@
 	return pending, candidates
 }
 
-// sampleRequest is the request for samples for a planned job.
+// sampleRequest returns the request for samples for a planned job.
 func (cs *ClusterState) sampleRequest(planned *plannedJob) *peerspb.Want {
 	spec := planned.job.Spec
 	request := &peerspb.Want{
@@ -173,7 +174,8 @@
 	return &peerspb.Size{Cpus: s.CPUs, Gpus: s.GPUs, MemoryGb: s.MemoryGB}
 }
 
-// Place ends a sampling round with the owners' samples and orders the starts. It returns how many.
+// Place ends a sampling round: it places the planned jobs on the machines that the pool owners sampled, and
+// returns the number of placed tasks.
 func (cs *ClusterState) Place(now time.Time, samples []*peerspb.Sample) int {
 	byRequest := map[uint32][]*peerspb.Sample{}
 	for _, sample := range samples {
@@ -216,7 +218,7 @@
 	return placed
 }
 
-// placeTasks starts as many of a planned job's tasks as find a machine, one by one.
+// placeTasks starts each of a planned job's tasks that finds a machine, and returns how many it started.
 func (cs *ClusterState) placeTasks(now time.Time, planned *plannedJob, samples []*peerspb.Sample) int {
 	job, placed := planned.job, 0
 	for nth, index := range planned.tasks {
@@ -226,7 +228,7 @@
 		machine := cs.choose(job, cs.sampledMachines(planned, samples, nth, ""), now)
 		if machine == nil {
 			if planned.fullScan {
-				break // all machines with free capacity were tried: the other tasks need the same
+				break // all machines with free capacity were tried, and the other tasks need the same capacity
 			}
 			continue
 		}
@@ -236,8 +238,8 @@
 	return placed
 }
 
-// sampledMachines returns the machines sampled for the nth task of a planned job, those that have its image
-// first; only those in a zone if it is named.
+// sampledMachines returns the machines sampled for the nth task of a planned job. Machines that have the job's
+// image come first. If zone isn't empty, only machines in that zone are returned.
 func (cs *ClusterState) sampledMachines(planned *plannedJob, samples []*peerspb.Sample, nth int, zone string) []*Machine {
 	machines := cs.sampleHolders(planned, zone)
 	for _, sample := range samples {
@@ -258,13 +260,14 @@
 	return machines
 }
 
-// nextAttempt numbers placement attempts so that no two leaders ever use the same number.
+// nextAttempt returns the number of a new placement attempt. It contains the leader's fencing token, so that no
+// two leaders use the same number.
 func (cs *ClusterState) nextAttempt() uint64 {
 	cs.attempts++
 	return cs.token<<20 + cs.attempts
 }
 
-// newTask is a task that is about to be bound to a machine and ordered there.
+// newTask returns a task in state ordered, which the caller binds to the machine and orders there.
 func (cs *ClusterState) newTask(now time.Time, job *Job, index int, machine *Machine, attempt uint64) *Task {
 	return &Task{
 		job:        job,
--- a/internal/placement/round_capacity.go
+++ b/internal/placement/round_capacity.go
@@ -10,77 +10,79 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// A sampling round tries a bounded number of tasks. They go to jobs that some machine may have capacity for,
-// in the queue's order; a share of them to those of these jobs that were considered longest ago (package
-// fairqueue). A job that no machine has capacity for is known to find none without being tried: whatever is
-// at the head of the queue, a job that there is capacity for is considered within fairqueue.Shares.Within
-// rounds.
+// A sampling round tries a bounded number of tasks. Most of them belong to the first jobs in the queue's order
+// for which some machine may have capacity; a share belongs to those of these jobs that were considered longest
+// ago (package fairqueue). A job for which no machine has capacity is detected without trying its tasks.
+// Therefore a job for which there is capacity is considered within fairqueue.Shares.MaxRounds rounds, whatever
+// is at the head of the queue.
 //
-// Guard: the number used to be spent on the tasks at the head of the queue, whether there was capacity for
-// them or not. With a few dozen services at the head that fitted nowhere, and something ending in every
+// Guard: a round used to spend its number of tasks on the head of the queue, whether there was capacity for
+// them or not. With a few dozen services at the head that fitted nowhere, and some task ending in every
 // round, nothing behind them was tried for minutes, beside 500 empty machines.
 
-// roundShares is the work of a sampling round. A large cluster's rounds place more: with a fixed number,
-// thousands of machines were empty for a minute beside a queue that had work for all of them.
+// roundShares returns how many tasks a sampling round tries. The number grows with the cluster: with a fixed
+// number, thousands of machines were empty for a minute beside a queue that had work for all of them.
 func (cs *ClusterState) roundShares() fairqueue.Shares {
 	first := max(cs.opt.TasksPerRound, cs.machines.Len()/16)
 	return fairqueue.Shares{InOrder: first, ByLastTurn: max(1, first/4), MaxPerJob: 4}
 }
 
-// market is the spot or the on-demand machines of a pool.
+// market identifies the spot or the on-demand machines of a pool.
 type market struct {
 	pool model.Pool
 	spot bool
 }
 
-// roundCapacity is what a sampling round knows of the free capacity. It is computed as far as it is asked for.
+// roundCapacity caches what a sampling round has found out about the free capacity. Each part is computed when
+// it is first needed.
 type roundCapacity struct {
 	indexed    bool
 	unreserved map[market]*capacityindex.Index // usable machines without reservations
 	reserved   []*Machine                      // usable machines with reservations
 	views      map[capacityView]*capacityindex.Index
-	gangSlots  map[gangDemand]map[string]int // by zone
-	unfitGangs map[capacityView][]gangRequest
+	gangSlots  map[gangDemand]map[string]int  // by zone
+	unfitGangs map[capacityView][]gangRequest // requests for which there is no capacity
 }
 
-// gangRequest is what a gang, or one task, requests. A round keeps the requests that there is no capacity for.
+// gangRequest is the capacity that a gang, or one task, requests.
 type gangRequest struct {
 	size    model.Size
 	tasks   int
 	oneZone bool
 }
 
-// covers tells that there is no capacity for another request if there is none for this one.
+// covers reports whether there is no capacity for another request if there is none for this one.
 func (r gangRequest) covers(other gangRequest) bool {
 	return r.size.Fits(other.size) && r.tasks <= other.tasks && (other.oneZone || !r.oneZone)
 }
 
-// capacityView is what of a job decides which free capacity it may use, besides its size.
+// capacityView holds the properties of a job, other than its size, that determine which free capacity it may use.
 type capacityView struct {
 	poolSet  int
 	spot     bool
 	priority int
 	boosted  bool
-	class    string // if it has warm headroom
+	class    string // empty: the job's class has no warm headroom
 }
 
-// gangDemand is what decides how many tasks of a gang there is capacity for in each zone.
+// gangDemand holds the properties of a gang that determine for how many of its tasks each zone has capacity.
 type gangDemand struct {
 	capacityView
 	size model.Size
 }
 
-// maxGangScans bounds the gang demands whose slots are counted in a round; gangs with other demands are tried
-// when there is capacity for one of their tasks. It also bounds the gangs for which machines are uncordoned.
+// maxGangScans is the maximum number of gang demands for which a round counts slots. Gangs with other demands
+// are tried if there is capacity for one of their tasks. It also limits the gangs for which machines are
+// uncordoned.
 const maxGangScans = 8
 
-// beginRoundCapacity starts a round, without any knowledge of the free capacity.
+// beginRoundCapacity starts a round and discards what the last round found out about the free capacity.
 func (cs *ClusterState) beginRoundCapacity() {
 	cs.roundNumber++
 	cs.roundCapacity = roundCapacity{gangSlots: map[gangDemand]map[string]int{}, unfitGangs: map[capacityView][]gangRequest{}}
 }
 
-// poolSetOf numbers a set of pools. Jobs that may run on the same pools have the same number.
+// poolSetOf returns the number of a set of pools. Jobs that may run on the same pools have the same number.
 func (cs *ClusterState) poolSetOf(pools []model.Pool) int {
 	var key strings.Builder
 	for _, pool := range pools {
@@ -97,7 +99,8 @@
 	return n
 }
 
-// recordNoCapacity records that a job was considered in this round and found no capacity, or would have.
+// recordNoCapacity records that a job was considered in this round and found no capacity, or would have found
+// none.
 func (cs *ClusterState) recordNoCapacity(j *Job, now time.Time) {
 	j.emptyRounds++
 	j.triedAtEvent, j.lastTurn, j.lastScan = cs.capacityEvents, cs.roundNumber, now
@@ -106,7 +109,8 @@
 	}
 }
 
-// mayFit tells whether there may be capacity for a job, for a gang all at once. A false is certain.
+// mayFit reports whether there may be capacity for a task of a job, or for all unplaced tasks of a gang. If it
+// returns false, there certainly is none.
 func (cs *ClusterState) mayFit(job *Job, now time.Time) bool {
 	pools := cs.poolsFor(job)
 	if len(pools) == 0 {
@@ -130,7 +134,7 @@
 	return job.Spec.Shape != model.Gang || job.Unplaced() == 1 || cs.gangMayFit(job, view, now)
 }
 
-// capacityIndexFor is an index of the free capacity that a job may use.
+// capacityIndexFor returns an index of the free capacity that a job may use.
 func (cs *ClusterState) capacityIndexFor(job *Job, pools []model.Pool, now time.Time) *capacityindex.Index {
 	round := &cs.roundCapacity
 	if !round.indexed {
@@ -155,7 +159,7 @@
 }
 
 // indexMachines indexes the free capacity of the usable machines. Machines with reservations are only listed,
-// for what is free there depends on the job.
+// because their free capacity depends on the job.
 func (r *roundCapacity) indexMachines(machines *model.Table[string, *Machine], types map[string]model.MachineType) {
 	r.indexed = true
 	r.unreserved = map[market]*capacityindex.Index{}
@@ -168,15 +172,15 @@
 			r.reserved = append(r.reserved, machine)
 			continue
 		}
-		of := market{machine.Pool, machine.Spot}
-		if r.unreserved[of] == nil {
-			r.unreserved[of] = &capacityindex.Index{}
+		key := market{machine.Pool, machine.Spot}
+		if r.unreserved[key] == nil {
+			r.unreserved[key] = &capacityindex.Index{}
 		}
-		r.unreserved[of].Add(types[machine.Pool.Type].Size.Sub(machine.load))
+		r.unreserved[key].Add(types[machine.Pool.Type].Size.Sub(machine.load))
 	}
 }
 
-// gangMayFit tells whether there may be capacity for all of a gang.
+// gangMayFit reports whether there may be capacity for all unplaced tasks of a gang.
 func (cs *ClusterState) gangMayFit(job *Job, view capacityView, now time.Time) bool {
 	request := gangRequest{job.Spec.Size, job.Unplaced(), job.Spec.OneZone}
 	if slices.ContainsFunc(cs.roundCapacity.unfitGangs[view], func(unfit gangRequest) bool { return unfit.covers(request) }) {
@@ -193,14 +197,14 @@
 	if total >= job.Unplaced() && (!job.Spec.OneZone || most >= job.Unplaced()) {
 		return true
 	}
-	if !job.Spec.Spread { // a cap on the tasks in a zone is the job's own, and says nothing of others
+	if !job.Spec.Spread { // a spread job's cap on the tasks in a zone doesn't apply to other jobs
 		cs.roundCapacity.unfitGangs[view] = append(cs.roundCapacity.unfitGangs[view], request)
 	}
 	return false
 }
 
-// gangSlots counts for how many of a gang's tasks each zone has capacity. known is false once the round has
-// counted for as many demands as it may.
+// gangSlots counts for how many of a gang's tasks each zone has capacity. known is false if the demand has not
+// been counted and the round has already counted maxGangScans demands.
 func (cs *ClusterState) gangSlots(job *Job, demand gangDemand, now time.Time) (slotsByZone map[string]int, known bool) {
 	slotsByZone, known = cs.roundCapacity.gangSlots[demand]
 	if known {
