--- a/internal/placement/gang_placement.go
+++ b/internal/placement/gang_placement.go
@@ -9,8 +9,8 @@
 	"github.com/marlwood/marlwood/internal/peers/peerspb"
 )
 
-// placeGang starts a gang only if all of its tasks find a machine, each beside the ones placed before it. A
-// gang that must stay in one zone is tried zone by zone.
+// placeGang starts a gang only if all of its tasks find a machine, each given the tasks placed before it. It
+// returns the number of placed tasks. A gang that must stay in one zone is tried zone by zone.
 func (cs *ClusterState) placeGang(now time.Time, planned *plannedJob, samples []*peerspb.Sample) int {
 	job := planned.job
 	if job.bound.Len() > 0 || len(planned.tasks) < job.Spec.Tasks-job.finished.Len() || cs.tasksWithinLimit(job) < len(planned.tasks) {
@@ -26,7 +26,7 @@
 		if len(tentative) < len(planned.tasks) {
 			continue
 		}
-		if cs.preemptForBetter(now, job, tentative) {
+		if cs.preemptToAvoidFetch(now, job, tentative) {
 			return 0
 		}
 		if cs.claimable(job, len(tentative)) {
@@ -43,8 +43,8 @@
 	return 0
 }
 
-// tryGang chooses a machine for one gang member after the other until one finds none, and returns the
-// members that found one. They are bound while the others are chosen, and unbound again at the end.
+// tryGang chooses a machine for one gang member after the other until a member finds none, and returns the
+// members that found one. They stay bound while machines for the others are chosen, and are unbound at the end.
 func (cs *ClusterState) tryGang(now time.Time, planned *plannedJob, samples []*peerspb.Sample, zone string, attempt uint64) []*Task {
 	var tentative []*Task
 	for nth, index := range planned.tasks {
@@ -62,7 +62,8 @@
 	return tentative
 }
 
-// zonesByCachedImage lists the sampled zones, those with most usable machines that have the image first.
+// zonesByCachedImage returns the sampled zones, ordered by the number of machines that have the image and fit
+// the job: the zone with most of them comes first.
 func (cs *ClusterState) zonesByCachedImage(planned *plannedJob, samples []*peerspb.Sample) []string {
 	holders := map[string]int{}
 	for _, machine := range cs.imageHolders[planned.job.Spec.Image].All() {
@@ -80,8 +81,9 @@
 	return zones
 }
 
-// ReconcileGangs repairs gangs' claims, and stops what is left of a gang that lost members while it waited and
-// can't be completed, so that it can restart as a whole. It also clears jobs that run well of suspicion.
+// ReconcileGangs repairs the claims of gangs. It stops the remaining members of a gang that lost members while
+// it waited and can't be completed, so that the gang can restart as a whole. It also clears the suspicion of
+// jobs that run well.
 func (cs *ClusterState) ReconcileGangs(now time.Time) {
 	for _, job := range cs.jobs.All() {
 		job.clearSuspicion(now)
--- a/internal/placement/preemption.go
+++ b/internal/placement/preemption.go
@@ -8,26 +8,27 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// reservationTime is how long preempted capacity is reserved for the job that it was preempted for, once the
-// victims have written their checkpoints.
+// reservationTime is how long preempted capacity stays reserved for the job that it was preempted for, after the
+// time that the victims get to write their checkpoints.
 const reservationTime = 15 * time.Second
 
 // preemptionRetryAfter is how long a job waits for preempted capacity before more is preempted for it.
 const preemptionRetryAfter = 3 * time.Second
 
-// preemptionSearchRetryRounds is for how many rounds an array or a service, which take what they get, isn't
-// searched for again.
+// preemptionSearchRetryRounds is the number of rounds after a search for capacity to preempt before the next
+// search for the same job, if it is an array or a service. These can start in part, with the capacity found.
 const preemptionSearchRetryRounds = 8
 
-// preemptionSearches bounds the jobs for which one round searches for capacity to preempt. Each search weighs
-// every machine.
+// preemptionSearches limits the number of jobs for which one round searches for capacity to preempt, because
+// each search examines every machine.
 var preemptionSearches = fairqueue.Shares{InOrder: 8, ByLastTurn: 4, MaxPerJob: 1}
 
-// Preempt stops tasks of lower priority for jobs that a full scan found no capacity for, those first that lose
-// least. The capacity, what is free of it included, is reserved for the job.
+// Preempt stops tasks for jobs for which a full scan found no capacity: tasks of lower priority, and tasks that
+// other teams run beyond their guarantees. Tasks that lose least are stopped first. The capacity, including the
+// part that is already free, is reserved for the job.
 //
-// Guard: all jobs that nothing has capacity for are known in every round. Without preemptionSearches every one
-// of them was searched for; a few thousand of them would take all of a leader's processor time.
+// Guard: every round knows all jobs for which no machine has capacity. Without preemptionSearches, a round
+// searched for every one of them; a few thousand of them would take all of a leader's processor time.
 func (cs *ClusterState) Preempt(now time.Time) {
 	if !cs.complete {
 		return
@@ -51,8 +52,8 @@
 	}
 }
 
-// jobsToPreemptFor returns the pending jobs for which tasks may be preempted now, in the queue's order, with
-// what each asks of the round.
+// jobsToPreemptFor returns the pending jobs for which tasks may be preempted now, in the queue's order, and the
+// candidates by which the searches are divided among them.
 func (cs *ClusterState) jobsToPreemptFor(now time.Time) (pending []*Job, candidates []fairqueue.Candidate) {
 	for _, job := range cs.queue(now) {
 		if !job.mayPreemptAnything(now) || cs.preemptedRecently(job, now) {
@@ -64,14 +65,14 @@
 	return pending, candidates
 }
 
-// mayPreemptAnything tells whether a job has the priority or the guarantee to preempt, and isn't a suspected
+// mayPreemptAnything reports whether a job has the priority or the guarantee to preempt, and isn't a suspected
 // poison job.
 func (j *Job) mayPreemptAnything(now time.Time) bool {
 	return (j.preemptionPriority(now) > 0 || j.queueKey.guaranteed == 0) && !j.SuspectedPoison()
 }
 
-// preemptedRecently tells that it is too soon to preempt for a job: it hasn't waited for long enough, or it was
-// preempted or searched for a short time ago.
+// preemptedRecently reports whether it is too soon to preempt for a job: it hasn't waited for long enough, or a
+// preemption or a search for it was made a short time ago.
 func (cs *ClusterState) preemptedRecently(job *Job, now time.Time) bool {
 	return job.emptyRounds <= cs.opt.ScanAfter ||
 		now.Sub(job.unplacedSince) < cs.opt.PreemptWait ||
@@ -79,31 +80,32 @@
 		job.Spec.Shape != model.Gang && job.lastPreemptSearch > 0 && cs.roundNumber-job.lastPreemptSearch < preemptionSearchRetryRounds
 }
 
-// restrictedByOwnZones tells that where a job's other tasks are restricts where it may run, so that a search
-// without result says nothing of other jobs.
+// restrictedByOwnZones reports whether the zones of a job's other tasks restrict where it may run. A search
+// without result for such a job doesn't imply that searches for other jobs find nothing.
 func (j *Job) restrictedByOwnZones() bool {
 	return j.Spec.Spread || (j.Spec.OneZone && j.bound.Len() > 0)
 }
 
-// preemptorKey is what decides which tasks may be preempted for a job, besides how much it requests.
+// preemptorKey holds the properties of a job, other than the requested capacity, that determine which tasks may
+// be preempted for it.
 type preemptorKey struct {
 	capacityView
 	team       string
 	guaranteed int
 }
 
-// preemptorKeyOf is the key of a job.
+// preemptorKeyOf returns the preemptor key of a job.
 func preemptorKeyOf(job *Job, now time.Time) preemptorKey {
 	view := capacityView{poolSet: job.poolSet, spot: job.Spec.Spot, priority: job.preemptionPriority(now), class: job.Spec.Class}
 	return preemptorKey{capacityView: view, team: job.Spec.Team, guaranteed: job.queueKey.guaranteed}
 }
 
-// preemptFor searches for capacity that may be preempted for a job, and preempts it. It returns false if there
-// is none.
+// preemptFor searches for capacity that may be preempted for a job, and preempts it. It returns false if the
+// search found none, and true if it found some or if the job's own limit or guarantee made a search pointless.
 func (cs *ClusterState) preemptFor(now time.Time, job *Job) bool {
 	tasks := cs.tasksWithinLimit(job)
 	if tasks == 0 || (job.Spec.Shape == model.Gang && tasks < job.Unplaced()) {
-		return true // its team's limit holds it back, which says nothing of other jobs
+		return true // its team's limit holds it back, which implies nothing for other jobs
 	}
 	if job.Spec.Shape != model.Gang {
 		tasks = min(tasks, cs.opt.TasksPerRound)
@@ -122,7 +124,7 @@
 	return true
 }
 
-// slotsWithinGuarantee is how many more tasks of a job fit into its team's guarantee.
+// slotsWithinGuarantee returns how many more tasks of a job fit into its team's guarantee.
 func (cs *ClusterState) slotsWithinGuarantee(job *Job) int {
 	size := model.Size{CPUs: job.Spec.Size.CPUs, GPUs: job.Spec.Size.GPUs} // memory is not guaranteed
 	return size.Slots(cs.teams[job.Spec.Team].Guarantee.Sub(job.usage.size))
@@ -130,19 +132,20 @@
 
 // executePreemption stops a plan's victims and reserves the capacity for the job.
 //
-// Guard: a job that a full scan found nothing for is tried again when an event may have freed capacity.
-// Capacity that another job's reservation releases, or that a plan finds without stopping anything, came
-// without any event: in a quiet cluster the job waited for ever beside it. So both count as events.
+// Guard: a job for which a full scan found no capacity is tried again when an event may have freed capacity.
+// Capacity that the end of another job's reservation frees, or that a plan finds without stopping any task, came
+// without such an event: in a quiet cluster the job waited forever beside it. So both count as capacity events.
 //
-// Guard: the capacity is reserved against the victims' jobs, also if these have the higher priority and only a
-// guarantee allowed the preemption, and until the victims have written their checkpoints. Reserved for less,
-// it was taken back at once, and preempted again, for ever (simulation seed 2200008432).
+// Guard: the capacity is also reserved against the victims' jobs, even if they have a higher priority and only
+// a guarantee allowed the preemption, and at least until the victims have written their checkpoints. With a
+// lower rank or a shorter time the victims' jobs took the capacity back at once, and it was preempted again,
+// forever (simulation seed 2200008432).
 func (cs *ClusterState) executePreemption(now time.Time, job *Job, plan *preemptionPlan) {
-	priority, saving := job.preemptionPriority(now), time.Duration(0)
+	priority, longestGrace := job.preemptionPriority(now), time.Duration(0)
 	for _, victim := range plan.victims {
-		priority, saving = max(priority, victim.job.effectivePriority), max(saving, graceFor(victim.job.Spec))
+		priority, longestGrace = max(priority, victim.job.effectivePriority), max(longestGrace, graceFor(victim.job.Spec))
 	}
-	job.preemptedAt, job.reservedUntil = now, now.Add(reservationTime+saving)
+	job.preemptedAt, job.reservedUntil = now, now.Add(reservationTime+longestGrace)
 	cs.capacityEvents++
 	for _, assigned := range plan.assignments {
 		reservation := reservedCapacity{size: job.Spec.Size.Times(assigned.tasks), rank: priority, until: job.reservedUntil}
@@ -157,9 +160,10 @@
 	}
 }
 
-// preemptForBetter preempts other capacity for a gang that found free capacity, if the gang is better off
-// there: a machine without its image is idle for as long as the fetch takes. It returns whether it did.
-func (cs *ClusterState) preemptForBetter(now time.Time, job *Job, found []*Task) bool {
+// preemptToAvoidFetch preempts other capacity for a gang that found free capacity, if the preemption loses at
+// most half of the CPU time that the gang's machines would be idle while they fetch its image. It reports
+// whether it preempted.
+func (cs *ClusterState) preemptToAvoidFetch(now time.Time, job *Job, found []*Task) bool {
 	if job.preemptionPriority(now) <= 0 || job.SuspectedPoison() || now.Sub(job.preemptedAt) < preemptionRetryAfter {
 		return false
 	}
@@ -178,8 +182,9 @@
 	return true
 }
 
-// Evacuate stops tasks on machines that are to be emptied: those with checkpoints where the provider has
-// announced that it will recall the machine, while there is still time to write one, and what drains say.
+// Evacuate stops tasks on machines that are to be emptied. On a machine that the provider has announced to
+// recall, it stops the running tasks that write checkpoints, while there is still time to write one. It also
+// advances the drains.
 func (cs *ClusterState) Evacuate(now time.Time) {
 	for _, machine := range cs.machines.All() {
 		if machine.Notice < 0 || machine.Phase != Current {
--- a/internal/placement/preemption_plan.go
+++ b/internal/placement/preemption_plan.go
@@ -8,14 +8,14 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// preemptionPlan says where tasks of a job are to run, and which tasks are preempted for them.
+// preemptionPlan assigns tasks of a job to machines, and lists the tasks that are preempted for them.
 type preemptionPlan struct {
 	assignments []assignment
 	victims     []*Task
-	loss        time.Duration // in CPU time
+	loss        time.Duration // CPU time lost by the preemption
 }
 
-// assignment is a machine with the number of a job's tasks that it is to run.
+// assignment assigns a number of a job's tasks to a machine.
 type assignment struct {
 	machine *Machine
 	tasks   int
@@ -24,33 +24,34 @@
 // preemptionCandidate is a machine on which capacity may be preempted for a job.
 type preemptionCandidate struct {
 	machine   *Machine
-	free      model.Size    // what stopping tasks hold included
-	victims   []victim      // that may be preempted, the least loss first
-	tasks     int           // of the job that are assigned to it
-	fetchLoss time.Duration // for each of the job's tasks
+	free      model.Size    // including the capacity of tasks that are being stopped
+	victims   []victim      // tasks that may be preempted, ordered by loss, the smallest first
+	tasks     int           // number of the job's tasks that are assigned to the machine
+	fetchLoss time.Duration // CPU time lost by the image fetch, for each of the job's tasks
 }
 
-// victim is a task that may be preempted, with what is lost by it.
+// victim is a task that may be preempted, with the CPU time that its preemption loses.
 type victim struct {
 	*Task
 	loss time.Duration
 }
 
-// compareVictims orders the victim that loses least first; the placement attempt decides between equals.
+// compareVictims orders victims by loss, the smallest first, and victims of equal loss by placement attempt.
 func compareVictims(x, y victim) int {
 	return cmp.Or(cmp.Compare(x.loss, y.loss), cmp.Compare(x.attempt, y.attempt))
 }
 
-// preemptionCost is how many of a candidate's victims must be preempted for one more task, and what is lost.
+// preemptionCost is the number of a candidate's victims that must be preempted for one more task, and the CPU
+// time that is lost.
 type preemptionCost struct {
 	victims int
 	loss    time.Duration
 }
 
-// costOfOneMore is the cost of one more task on the candidate. ok is false if it can't run one more.
+// costOfOneMore returns the cost of one more task on the candidate. ok is false if it can't run one more.
 func (c *preemptionCandidate) costOfOneMore(size model.Size) (cost preemptionCost, ok bool) {
 	free := c.free
-	var saving time.Duration // for which the capacity is idle
+	var saveTime time.Duration // the longest time to write a checkpoint, during which the capacity is idle
 	for !size.Fits(free) {
 		if cost.victims == len(c.victims) {
 			return preemptionCost{}, false
@@ -58,19 +59,20 @@
 		next := c.victims[cost.victims]
 		free, cost.loss = free.Add(next.job.Spec.Size), cost.loss+next.loss
 		if next.state == model.TaskRunning {
-			saving = max(saving, next.job.Spec.SaveTime)
+			saveTime = max(saveTime, next.job.Spec.SaveTime)
 		}
 		cost.victims++
 	}
-	cost.loss = cost.loss + c.fetchLoss + time.Duration(float64(saving)*size.CPUs)
+	cost.loss = cost.loss + c.fetchLoss + time.Duration(float64(saveTime)*size.CPUs)
 	return cost, true
 }
 
-// planPreemption finds the least loss at which a number of a job's tasks find capacity, all in one zone if they
-// must stay together; nil if there is no plan. An array takes what it can get; a gang needs all or nothing.
+// planPreemption returns the plan that loses least to give capacity to a number of a job's tasks, all in one
+// zone if the job must stay in one. It returns nil if there is no plan. The plan for an array or a service may
+// cover only some of the tasks; the plan for a gang covers all of them.
 //
-// Guard: a gang that must stay in one zone gains nothing from a machine here and another there; without the
-// zones one by one, tasks were preempted for it in every zone, over and over.
+// Guard: capacity in several zones is useless to a gang that must stay in one zone. When the zones were not
+// planned one by one, tasks were preempted for it in every zone, over and over.
 func (cs *ClusterState) planPreemption(now time.Time, job *Job, tasks int) *preemptionPlan {
 	var best *preemptionPlan
 	for _, zone := range cs.zonesFor(job) {
@@ -81,8 +83,8 @@
 	return best
 }
 
-// zonesFor lists the zones that are tried one by one for a job that must stay in one; for another job "",
-// which means all of them together.
+// zonesFor returns the zones to try one by one for a job that must stay in one zone. For any other job it
+// returns only "", which stands for all zones together.
 func (cs *ClusterState) zonesFor(job *Job) []string {
 	if !job.Spec.OneZone {
 		return []string{""}
@@ -96,11 +98,11 @@
 	return zones
 }
 
-// planPreemptionIn plans for one zone, or for all if none is named.
+// planPreemptionIn plans a preemption in one zone, or in all zones if zone is empty.
 func (cs *ClusterState) planPreemptionIn(now time.Time, job *Job, tasks int, zone string) *preemptionPlan {
 	candidates := cs.preemptionCandidates(now, job, zone)
 	plan := &preemptionPlan{}
-	inZone := map[string]int{} // the job's tasks by zone
+	inZone := map[string]int{} // number of the job's tasks by zone
 	for _, task := range job.bound.All() {
 		inZone[task.machine.Pool.Zone]++
 	}
@@ -123,8 +125,8 @@
 	return plan
 }
 
-// preemptionCandidates lists the machines in a zone, or in all if none is named, on which at least one task of
-// a job could run if all that may be preempted were, in the order of their names.
+// preemptionCandidates returns the machines in a zone, or in all zones if zone is empty, on which at least one
+// task of a job could run if every task that may be preempted were preempted. They are ordered by name.
 func (cs *ClusterState) preemptionCandidates(now time.Time, job *Job, zone string) []*preemptionCandidate {
 	var candidates []*preemptionCandidate
 	priority, pools := job.preemptionPriority(now), cs.poolsFor(job)
@@ -139,20 +141,21 @@
 	return candidates
 }
 
-// preemptionCandidate is a machine as a candidate; nil if it can't run a task of the job.
+// preemptionCandidate returns a machine as a candidate, or nil if it couldn't run a task of the job even if
+// every task that may be preempted were preempted.
 func (cs *ClusterState) preemptionCandidate(now time.Time, job *Job, machine *Machine, priority int) *preemptionCandidate {
 	candidate := &preemptionCandidate{machine: machine, free: cs.free(machine, job, now)}
-	reclaimable := candidate.free // if all victims are preempted
+	attainable := candidate.free // the free capacity once all victims are preempted
 	for _, task := range machine.tasks.All() {
 		if task.stopping {
-			candidate.free, reclaimable = candidate.free.Add(task.job.Spec.Size), reclaimable.Add(task.job.Spec.Size)
+			candidate.free, attainable = candidate.free.Add(task.job.Spec.Size), attainable.Add(task.job.Spec.Size)
 		} else if cs.mayPreempt(job, task, priority, now) {
-			candidate.victims, reclaimable = append(candidate.victims, victim{Task: task}), reclaimable.Add(task.job.Spec.Size)
+			candidate.victims, attainable = append(candidate.victims, victim{Task: task}), attainable.Add(task.job.Spec.Size)
 		}
 	}
-	// Guard: a large cluster has thousands of machines where nothing may be preempted. Weighed for every task
-	// of every pending job, they took a quarter of a leader's processor time.
-	if !job.Spec.Size.Fits(reclaimable) {
+	// Guard: a large cluster has thousands of machines where nothing may be preempted. When they were kept as
+	// candidates for every task of every pending job, they took a quarter of a leader's processor time.
+	if !job.Spec.Size.Fits(attainable) {
 		return nil
 	}
 	candidate.fetchLoss = cs.fetchLoss(job, machine)
@@ -163,15 +166,15 @@
 	return candidate
 }
 
-// cheapestCandidate is the candidate that loses least by one more task of a job; nil if none can run one. Of
-// equals the first is taken.
+// cheapestCandidate returns the candidate on which one more task of a job loses least, or nil if none can run
+// one more. Of candidates with equal loss it returns the first.
 func cheapestCandidate(candidates []*preemptionCandidate, spec *model.Job, inZone map[string]int) (*preemptionCandidate, preemptionCost) {
 	var best *preemptionCandidate
 	var bestCost preemptionCost
 	for _, candidate := range candidates {
-		// Guard: a zone takes no more of a spread job than its cap. Without the check, tasks were preempted
-		// and capacity was reserved in one zone for a whole gang, again and again, that could never start
-		// there.
+		// Guard: a zone may run no more tasks of a spread job than its cap. Without this check, tasks were
+		// preempted and capacity was reserved in one zone, again and again, for a whole gang that could
+		// never start there.
 		if inZone[candidate.machine.Pool.Zone] >= spec.ZoneCap() {
 			continue
 		}
@@ -182,7 +185,7 @@
 	return best, bestCost
 }
 
-// assign assigns one more task to a candidate, at a cost that the candidate named.
+// assign assigns one more task to a candidate, at the cost that costOfOneMore returned for it.
 func (p *preemptionPlan) assign(to *preemptionCandidate, cost preemptionCost, size model.Size) {
 	for _, task := range to.victims[:cost.victims] {
 		p.victims = append(p.victims, task.Task)
