--- a/internal/placement/deadline_boost.go
+++ b/internal/placement/deadline_boost.go
@@ -7,16 +7,16 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// startMargin is what the deadline boost allows for queueing, for starts, and for what the job's user tried
-// before it was accepted.
+// startMargin is the time that the deadline boost adds for queueing, for starts, and for the user's attempts to
+// submit the job before it was accepted.
 const startMargin = 30 * time.Second
 
-// deadlineRule is by when jobs are to start.
+// deadlineRule returns the rule for the time within which jobs are to start.
 func (cs *ClusterState) deadlineRule() deadline.Rule {
 	return deadline.Rule{BeginWithin: cs.opt.BeginWithin, Margin: startMargin}
 }
 
-// deadlineFacts are what a job's deadline boost depends on.
+// deadlineFacts returns the facts on which a job's deadline boost depends.
 func (cs *ClusterState) deadlineFacts(job *Job) deadline.Facts {
 	facts := deadline.Facts{
 		Accepted:         job.Accepted,
@@ -37,26 +37,27 @@
 	return facts
 }
 
-// boostDeadlines computes which pending jobs have a deadline boost (package deadline). While the cluster is
-// pressed, that is, jobs that have waited for long take more than a quarter of the time to gather capacity,
-// boosted jobs may use warm headroom and aren't preempted, and are ordered by what each has left to gather.
-// With less to do nearly all start in time without that.
+// boostDeadlines computes which pending jobs have a deadline boost (package deadline). The cluster counts as
+// overloaded while the jobs that have waited for long need more than a quarter of Rule.BeginWithin to gather
+// their capacity. Jobs that are boosted during an overload may use warm headroom, aren't preempted for jobs
+// without a boost, and are ordered by the time that each still needs to gather its capacity. At a lower load
+// nearly all jobs start in time without these measures.
 //
 // Guard: queries of operators compute the queue as well. Without readOnly, a query while jobs were boosted
-// changed later decisions, and a replay of the recording, which holds no queries, decided differently.
+// changed later decisions, and a replay of the recording, which contains no queries, decided differently.
 func (cs *ClusterState) boostDeadlines(pending []*Job, now time.Time) {
 	rule, others := cs.deadlineRule(), time.Duration(0)
-	pressed := cs.gatheringTime > rule.BeginWithin/4
+	overloaded := cs.gatheringTime > rule.BeginWithin/4
 	for _, job := range pending {
 		job.queueKey.boostedSince = time.Time{}
 		if now.Sub(job.Accepted) < rule.BeginWithin/4 || job.SuspectedPoison() {
-			continue // most jobs, decided without computing more
+			continue // this holds for most jobs, and is cheap to check
 		}
 		facts := cs.deadlineFacts(job)
 		if rule.CountsAsOther(facts, now) {
-			// Guard: what a job takes of its team's limit doesn't measure what it takes from other jobs.
-			// With the limit in place of the cluster's capacity, limits of a tenth of the cluster made
-			// every day look overloaded.
+			// Guard: the share of its team's limit that a job uses doesn't measure what it takes from
+			// other jobs. When the limit was used in place of the cluster's capacity, limits of a tenth
+			// of the cluster made every day look overloaded.
 			clusterFacts := facts
 			clusterFacts.CapacityCPUs = cs.usableCPUs
 			others += clusterFacts.GatherTime()
@@ -64,11 +65,11 @@
 		if since, boosted := rule.Boost(facts, now); boosted {
 			job.queueKey.boostedSince = since
 			if !cs.readOnly {
-				job.boosted = job.boosted || pressed
+				job.boosted = job.boosted || overloaded
 			}
-			if pressed {
-				// Guard: ordered by age, all of them started a little too late. The job that has least
-				// left to start goes first, so that most start in time.
+			if overloaded {
+				// Guard: when boosted jobs were ordered by age, all of them started a little too late.
+				// The job that has least left to start goes first, so that most jobs start in time.
 				job.queueKey.boostedSince = now.Add(facts.GatherTime())
 			}
 		}
@@ -78,8 +79,8 @@
 	}
 }
 
-// tasksToStart counts the tasks that a job has yet to start until it counts as started: of an array as many
-// as its team's limit allows at once, of others all.
+// tasksToStart returns the number of tasks that must still start until a job counts as started. An array counts
+// as started with as many tasks as its team's limit allows at once, any other job with all its tasks.
 func (cs *ClusterState) tasksToStart(job *Job) int {
 	tasks := job.Spec.Tasks
 	if job.Spec.Shape == model.Array {
@@ -88,7 +89,8 @@
 	return max(0, tasks-job.finished.Len()-job.bound.Len())
 }
 
-// compareBoosts orders boosted jobs first, those that were boosted first before the others.
+// compareBoosts orders boosted jobs before the others, and boosted jobs by the time of the boost, the earliest
+// first.
 func compareBoosts(x, y time.Time) int {
 	switch {
 	case x.IsZero() && y.IsZero():
--- a/internal/placement/free_capacity.go
+++ b/internal/placement/free_capacity.go
@@ -8,44 +8,45 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// freeCapacity is the free capacity of the machines that are up, as it is allocated to one job after the other
-// to find the demand that is unmet. Nothing is placed by it.
+// freeCapacity is the free capacity of the present machines. It is allocated to one job after the other to
+// compute the unmet demand; no task is placed by it.
 //
-// Guard: a long queue allocates for every job, so a job visits only machines of its pools, and what depends on
-// the machine alone is computed once. Computed anew for each job, this took most of a leader's processor time
-// when a few hundred jobs were pending; it then lost its lease, and so did the next leader.
+// Guard: with a long queue, capacity is allocated for every job. Therefore a job visits only the machines of its
+// pools, and values that depend only on the machine are computed once. When they were computed for each job,
+// this took most of a leader's processor time while a few hundred jobs were pending; the leader then lost its
+// lease, and so did the next leader.
 type freeCapacity struct {
-	allocatedOn []*Machine // on which the last call of allocate found capacity
+	allocatedOn []*Machine // machines on which the last call of allocate allocated capacity
 	cluster     *ClusterState
 	now         time.Time
 	byPool      map[model.Pool][]*machineCapacity
-	exhausted   map[market][]model.Size // sizes that no machine of a pool and market has capacity for
+	exhausted   map[market][]model.Size // sizes for which no machine of a pool and market has capacity
 }
 
-// machineCapacity is what one machine can still take.
+// machineCapacity is the capacity of one machine that is not allocated yet.
 type machineCapacity struct {
 	machine         *Machine
 	size            model.Size        // of the machine
-	free            model.Size        // what stopping tasks hold included, less what is allocated
+	free            model.Size        // including the capacity of tasks that are being stopped, less what is allocated
 	releases        []capacityRelease // by the machine's tasks
-	promisedSeconds float64           // seconds of the whole machine that are allocated over time
-	longestReleased float64           // such seconds that its tasks release within the longest horizon
+	promisedSeconds float64           // allocated by allocateOverTime, in seconds of the whole machine
+	longestReleased float64           // released by the machine's tasks within the longest horizon, in such seconds
 	horizon         time.Duration     // of the last call of releasedWithin
-	released        float64           // such seconds that they release within horizon
+	released        float64           // the result of that call, in such seconds
 }
 
-// capacityRelease is when a share of a machine is released, as estimated.
+// capacityRelease is the estimated release of a share of a machine.
 type capacityRelease struct {
 	after time.Duration
 	share float64
 }
 
-// remaining is how long a task will yet run, as estimated.
+// remaining returns the estimated remaining run time of a task.
 func (t *Task) remaining(now time.Time) time.Duration {
 	return max(t.job.Spec.Estimate-now.Sub(t.stateSince), t.job.Spec.Estimate/5)
 }
 
-// newFreeCapacity is the free capacity before anything is allocated to the jobs of a queue.
+// newFreeCapacity returns the free capacity before any of it is allocated to the jobs of a queue.
 func (cs *ClusterState) newFreeCapacity(now time.Time, queue []*Job) *freeCapacity {
 	longest := cs.opt.Horizon
 	for _, job := range queue {
@@ -58,7 +59,7 @@
 		exhausted: map[market][]model.Size{},
 	}
 	for _, machine := range cs.machines.All() {
-		if !machine.maySoonBeUsed() {
+		if !machine.isOrBecomesUsable() {
 			continue
 		}
 		onMachine := newMachineCapacity(machine, cs.types[machine.Pool.Type].Size, now)
@@ -68,16 +69,16 @@
 	return capacity
 }
 
-// maySoonBeUsed tells whether a machine is usable or about to be.
+// isOrBecomesUsable reports whether a machine is usable or is about to become usable.
 //
-// Guard: a machine that has yet to show a fresh token, or whose record is being stored, is about to be used;
-// no other machine must be requested in its place.
-func (m *Machine) maySoonBeUsed() bool {
+// Guard: a machine that has yet to report a fresh token, or whose record is being stored, is about to become
+// usable; no other machine must be requested in its place.
+func (m *Machine) isOrBecomesUsable() bool {
 	return m.Phase != ExpiryReported && m.Phase != Expired && !m.Cordoned && !m.ScaleIn && m.drain == nil && m.Notice < 0 &&
 		!m.Unreachable && !m.cyclesControllers
 }
 
-// newMachineCapacity is the capacity of a machine of a size.
+// newMachineCapacity returns the capacity of a machine of the given size before any of it is allocated.
 func newMachineCapacity(machine *Machine, size model.Size, now time.Time) *machineCapacity {
 	capacity := &machineCapacity{machine: machine, size: size}
 	capacity.free = size.Sub(machine.load)
@@ -93,7 +94,8 @@
 	return capacity
 }
 
-// releasedWithin is how many seconds of the whole machine its tasks release within a horizon.
+// releasedWithin returns the time that the machine's tasks release within a horizon, in seconds of the whole
+// machine.
 func (m *machineCapacity) releasedWithin(horizon time.Duration) float64 {
 	if horizon == m.horizon {
 		return m.released
@@ -107,7 +109,7 @@
 	return m.released
 }
 
-// eachAllowed visits each machine on which a job's tasks may run, until visit returns false.
+// eachAllowed calls visit for each machine on which a job's tasks may run, until visit returns false.
 func (c *freeCapacity) eachAllowed(job *Job, visit func(on *machineCapacity) bool) {
 	for _, pool := range c.cluster.poolsFor(job) {
 		for _, on := range c.byPool[pool] {
@@ -118,17 +120,18 @@
 	}
 }
 
-// eachWithCapacity visits each machine on which a job's tasks may run and that has capacity for one of them,
-// what is reserved for others included, until visit returns false; only machines in a zone if it is named.
-// Free capacity only falls, so where a task found none, none is searched for one that needs as much.
+// eachWithCapacity calls visit for each machine on which a job's tasks may run and that has capacity for one of
+// them, including capacity that is reserved for other jobs, until visit returns false. If zone isn't empty, it
+// visits only machines in that zone. Free capacity only shrinks, so a pool that had no capacity for a task isn't
+// searched again for a task that needs at least as much.
 func (c *freeCapacity) eachWithCapacity(job *Job, zone string, visit func(on *machineCapacity) bool) {
 	size, spot := job.Spec.Size, job.Spec.Spot
 	for _, pool := range c.cluster.poolsFor(job) {
 		if zone != "" && pool.Zone != zone {
 			continue
 		}
-		in := market{pool, spot}
-		if slices.ContainsFunc(c.exhausted[in], func(unfit model.Size) bool { return unfit.Fits(size) }) {
+		key := market{pool, spot}
+		if slices.ContainsFunc(c.exhausted[key], func(unfit model.Size) bool { return unfit.Fits(size) }) {
 			continue
 		}
 		found := false
@@ -142,12 +145,12 @@
 			}
 		}
 		if !found {
-			c.exhausted[in] = append(c.exhausted[in], size)
+			c.exhausted[key] = append(c.exhausted[key], size)
 		}
 	}
 }
 
-// slotsOn is how many of a job's tasks a machine that has capacity for one can still take.
+// slotsOn returns how many of a job's tasks a machine can still run, given the reservations for other jobs.
 func (c *freeCapacity) slotsOn(job *Job, on *machineCapacity) int {
 	if on.machine.reserved.Len() == 0 {
 		return job.Spec.Size.Slots(on.free)
@@ -155,7 +158,7 @@
 	return job.Spec.Size.Slots(on.free.Sub(c.cluster.reservedAgainst(on.machine, job, c.now)))
 }
 
-// countSlots counts for how many of a number of tasks there is capacity.
+// countSlots returns for how many of a number of a job's tasks there is capacity.
 func (c *freeCapacity) countSlots(job *Job, zone string, tasks int) int {
 	found := 0
 	c.eachWithCapacity(job, zone, func(on *machineCapacity) bool {
@@ -165,7 +168,7 @@
 	return min(tasks, found)
 }
 
-// allocate allocates capacity to up to a number of tasks and returns how many are left.
+// allocate allocates capacity to at most a number of a job's tasks and returns how many tasks got none.
 func (c *freeCapacity) allocate(job *Job, zone string, tasks int) int {
 	c.allocatedOn = c.allocatedOn[:0]
 	c.eachWithCapacity(job, zone, func(on *machineCapacity) bool {
@@ -179,8 +182,8 @@
 	return tasks
 }
 
-// allocateOverTime allocates the time that machines' present tasks release within a horizon to up to a number of
-// tasks, which run there one after the other, and returns how many are left.
+// allocateOverTime allocates the time that the machines' present tasks release within a horizon to at most a
+// number of a job's tasks, which run there one after the other. It returns how many tasks got none.
 func (c *freeCapacity) allocateOverTime(job *Job, horizon time.Duration, tasks int) int {
 	estimate := job.Spec.Estimate.Seconds()
 	var sharedSize, share = model.Size{}, 0.0
@@ -202,7 +205,7 @@
 	return tasks
 }
 
-// bestZone is the zone with most capacity for a job that must stay in one.
+// bestZone returns the zone with most capacity for a job that must stay in one zone.
 func (c *freeCapacity) bestZone(job *Job, pools []model.Pool, tasks int) string {
 	best, most := "", -1
 	for _, pool := range pools {
@@ -213,11 +216,12 @@
 	return best
 }
 
-// allocateSpread allocates capacity to up to a number of tasks of a job that is spread over zones, and returns
-// the demand that is unmet, zone by zone, the cheapest first.
+// allocateSpread allocates capacity to at most a number of tasks of a job that is spread over zones. It returns
+// the unmet demand by zone, that of the cheapest zone first.
 //
-// Guard: capacity in a zone that may take no more of the job doesn't count. When it did, two replicas of a
-// service ran as one for as long as machines of one zone had capacity: none was requested in other zones.
+// Guard: capacity in a zone that may run no more tasks of the job doesn't count. When it counted, only one of a
+// service's two replicas ran for as long as machines of one zone had capacity, because no machine was requested
+// in other zones.
 func (c *freeCapacity) allocateSpread(demand UnmetDemand, tasks int) []UnmetDemand {
 	job := demand.job
 	zones, allowed := c.zonesByPrice(demand)
@@ -246,8 +250,8 @@
 	return demands
 }
 
-// zonesByPrice lists the zones of a demand's pools, the one with the cheapest pool first, and how many of its
-// job's tasks each may run in all.
+// zonesByPrice returns the zones of a demand's pools, ordered by the price of each zone's cheapest pool, and how
+// many of the job's tasks each zone may run in total.
 func (c *freeCapacity) zonesByPrice(demand UnmetDemand) (zones []string, allowed map[string]int) {
 	allowed = map[string]int{}
 	cheapest := map[string]float64{}
--- a/internal/placement/gang_claims.go
+++ b/internal/placement/gang_claims.go
@@ -7,24 +7,24 @@
 	"github.com/marlwood/marlwood/internal/reservation"
 )
 
-// Gangs' claims (package reservation). All members of a gang are bound when it is placed; none is ordered
-// before the claim is stored, as a part of the job's record. The next leader binds what the
-// claim names before its first round, and resumes the same attempt.
+// This file maintains the claims of gangs (package reservation). All members of a gang are bound when the gang
+// is placed, but none is ordered before the claim is stored as a part of the job's record. After a failover, the
+// next leader binds the members to the claimed machines before its first round, and resumes the same attempt.
 
 // gangState is a gang's present placement attempt.
 type gangState struct {
 	attempt       uint64
-	claim         *reservation.Claim // nil: there is none
+	claim         *reservation.Claim // nil: the gang has no claim
 	claimTooLarge bool               // the claim is too large to be stored
 }
 
-// claimable reports whether a gang is to be claimed before so many members of it are ordered. A gang of one member can't
-// be started by half, and needs no claim.
+// claimable reports whether a claim for a gang is to be stored before the given number of its members is ordered.
+// A gang of one member can't be started in part, and needs no claim.
 func (cs *ClusterState) claimable(job *Job, members int) bool {
 	return members > 1 && members == job.Spec.Tasks && members <= cs.opt.ClaimPieces && !job.oversized && !job.claimTooLarge
 }
 
-// claim binds the members of a gang, which are not ordered yet, and requests a claim on their machines.
+// claim binds the members of a gang without ordering them, and requests that a claim on their machines is stored.
 func (cs *ClusterState) claim(now time.Time, job *Job, attempt uint64, tasks []*Task) {
 	machines := make([]string, job.Spec.Tasks)
 	for _, task := range tasks {
@@ -35,14 +35,15 @@
 	job.attempt, job.claim, job.dirty = attempt, reservation.New(attempt, machines, now), true
 }
 
-// claimStored records that a version of a job's claim is stored, and orders the members.
+// claimStored records that a version of a job's claim is stored. If it is the current version, the members are
+// ordered.
 func (cs *ClusterState) claimStored(job *Job, version int) {
 	if job.claim.Active() && job.claim.Stored(version) {
 		cs.orderClaimed(job)
 	}
 }
 
-// orderClaimed orders the claimed members whose machines may take them.
+// orderClaimed orders the claimed members whose machines are usable.
 func (cs *ClusterState) orderClaimed(job *Job) {
 	if !cs.complete || job.claim.State != reservation.Claimed && job.claim.State != reservation.Starting {
 		return
@@ -56,22 +57,22 @@
 	}
 }
 
-// memberUnbound records that a member of a gang is bound no more.
+// memberUnbound records that a member of a gang is no longer bound.
 func (j *Job) memberUnbound(task *Task) {
 	if !j.claim.Active() || j.claim.Attempt != task.attempt {
 		return
 	}
 	for _, other := range j.bound.All() {
 		if other.state == model.TaskRunning {
-			j.claim.Release() // it had started: the others notice, and return to their last checkpoint
+			j.claim.Release() // the gang had started: the other members notice, and return to their last checkpoint
 			return
 		}
 	}
 	j.claim.MemberFailed(task.index)
 }
 
-// finishClaim ends a claim once all its members run: the write that records the job as started leaves
-// it out.
+// finishClaim ends a claim once all its members run. The write that records the job as started then omits the
+// claim.
 func (j *Job) finishClaim() {
 	if !j.claim.Active() || j.bound.Len() < j.Spec.Tasks {
 		return
@@ -85,9 +86,8 @@
 	j.dirty = true
 }
 
-// repairClaim continues a gang's claim: members that may not be ordered to their machines any more get
-// other machines, under the same attempt. It reports false if the claim can't be completed in time, and is
-// to be released.
+// repairClaim continues a gang's claim: members whose machines are no longer usable get other machines, under the
+// same attempt. It returns false if the claim can't be completed in time and must be released.
 func (cs *ClusterState) repairClaim(now time.Time, job *Job) bool {
 	for _, task := range job.bound.All() {
 		if task.heldByClaim && !task.machine.usable() && task.machine.Phase != Unseen && task.machine.Phase != Joining {
@@ -99,8 +99,9 @@
 	case job.claim.State == reservation.Requested, job.claim.State == reservation.Starting && !job.anyHeldByClaim():
 		return true
 	case !job.claim.MayRepair(now, cs.opt.GangWait):
-		// Guard: members of a gang held their machines for one that found none anywhere, for
-		// nothing is launched for a gang that is bound in part (simtest, seed 220000008).
+		// Guard: no machine is launched for a gang of which some members are bound. Without this time
+		// limit, the members of a gang held their machines for one member that found none anywhere
+		// (simtest, seed 220000008).
 		return false
 	case job.claim.State == reservation.Repairing:
 		cs.replaceMembers(now, job)
@@ -108,7 +109,7 @@
 	return true
 }
 
-// anyHeldByClaim reports whether a member of the gang is bound and not ordered.
+// anyHeldByClaim reports whether a member of the gang is bound by the claim and not ordered.
 func (j *Job) anyHeldByClaim() bool {
 	for _, task := range j.bound.All() {
 		if task.heldByClaim {
@@ -118,7 +119,8 @@
 	return false
 }
 
-// replaceMembers binds the members of a claim that have no machine to other machines, as far as there is capacity.
+// replaceMembers binds the members of a claim that have no machine to other machines, as long as there is
+// capacity.
 func (cs *ClusterState) replaceMembers(now time.Time, job *Job) {
 	for member, name := range job.claim.Machines {
 		if name != "" || job.bound.At(member) != nil {
@@ -129,7 +131,7 @@
 		}
 		machine := cs.choose(job, cs.machines.Values(), now)
 		if machine == nil {
-			return // there may be capacity before the time is up
+			return // there may be capacity later, before the claim's time is up
 		}
 		cs.bindClaimed(now, job, member, machine)
 		job.claim.Replace(member, machine.Name)
@@ -137,7 +139,7 @@
 	}
 }
 
-// bindClaimed binds a member of a claimed gang to a machine, without an order.
+// bindClaimed binds a member of a claimed gang to a machine without ordering it.
 func (cs *ClusterState) bindClaimed(now time.Time, job *Job, member int, machine *Machine) {
 	cs.bind(&Task{
 		job:         job,
@@ -150,7 +152,7 @@
 	})
 }
 
-// releaseClaim releases a gang's claim, and its members that were not ordered.
+// releaseClaim releases a gang's claim and those of its members that were not ordered.
 func (cs *ClusterState) releaseClaim(job *Job, now time.Time) {
 	if job.claim != nil {
 		job.claim.Release()
@@ -162,8 +164,8 @@
 	}
 }
 
-// resumeClaims continues the claims that an earlier leader stored, before the first round: every
-// machine's tasks are known.
+// resumeClaims continues the claims that an earlier leader stored. It is called before the first tasks are
+// placed, when the tasks of every machine are known.
 func (cs *ClusterState) resumeClaims(now time.Time) {
 	for _, job := range cs.jobs.All() {
 		if !job.Cancelled && job.claim.Active() && job.claim.State == reservation.Claimed {
@@ -172,16 +174,16 @@
 	}
 }
 
-// resumeClaim continues one gang's claim. Members that are on their machines were bound by the machines' reports. The
-// others keep the machines that were claimed for them, if these may take them, and are ordered
-// under the same attempt; the rest get other machines in repairClaim.
+// resumeClaim continues one gang's claim. Members that are already on their machines were bound when the machines
+// reported them. The other members are bound to the machines that were claimed for them, if they fit there, and
+// are ordered under the same attempt. The rest get other machines in repairClaim.
 func (cs *ClusterState) resumeClaim(now time.Time, job *Job) {
 	otherAttempt := false
 	for _, task := range job.bound.All() {
 		otherAttempt = otherAttempt || task.attempt != job.claim.Attempt
 	}
 	if otherAttempt || job.finished.Len() > 0 || cs.tasksWithinLimit(job) < job.Unplaced() {
-		job.claim.Release() // a later attempt, or the limit has fallen
+		job.claim.Release() // a later attempt was made, tasks have finished, or the limit was lowered
 		return
 	}
 	for member, name := range job.claim.Machines {
--- a/internal/placement/gang_moves.go
+++ b/internal/placement/gang_moves.go
@@ -7,29 +7,29 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// drainReservation is how long capacity is reserved for a gang that was stopped to move. Each of its
-// members checkpoints, reports and is started again meanwhile.
+// drainReservation is how long capacity is reserved for a gang that was stopped to move. Within this time each
+// of its members writes a checkpoint, reports its exit and is started again.
 const drainReservation = 30 * time.Second
 
-// gangStep is what a drain does next with a gang.
+// gangStep is the next step of a drain for a gang.
 type gangStep int
 
 const (
-	gangStopping      gangStep = iota // it is being stopped
-	gangStopUnstarted                 // it has not started: it is stopped now
-	gangRunToEnd                      // it runs to its end
-	gangRunToDeadline                 // it runs until the deadline
-	gangStopAndMove                   // the deadline has passed: it is stopped now, as a whole
-	gangAwaitCapacity                 // the deadline has passed: it runs until there is capacity elsewhere
+	gangStopping      gangStep = iota // the gang is being stopped
+	gangStopUnstarted                 // the gang has not started: it is stopped now
+	gangRunToEnd                      // the drain has no deadline: the gang runs to its end
+	gangRunToDeadline                 // the gang runs until the deadline
+	gangStopAndMove                   // the deadline has passed: the gang is stopped now, as a whole
+	gangAwaitCapacity                 // the deadline has passed: the gang runs until there is capacity elsewhere
 )
 
 // gangMove is the state of a gang that is to leave drained machines.
 type gangMove struct {
 	step      gangStep
-	onDrained int          // its members on drained machines
-	placeable int          // its members for which there is capacity elsewhere
-	places    []assignment // that capacity
-	deadline  time.Time    // the soonest of the drains; zero: there is none
+	onDrained int          // number of its members on drained machines
+	placeable int          // number of its members for which there is capacity elsewhere
+	places    []assignment // the machines with that capacity
+	deadline  time.Time    // the earliest deadline of the drains; zero: none has a deadline
 }
 
 // planGangMove computes the state of a gang that has a member on a drained machine.
@@ -70,7 +70,7 @@
 	return move
 }
 
-// advanceGangDrain takes the next step with a gang that has a member on a drained machine.
+// advanceGangDrain takes the next step for a gang that has a member on a drained machine.
 func (cs *ClusterState) advanceGangDrain(job *Job, now time.Time) {
 	move := cs.planGangMove(job, now)
 	var first *Task
@@ -94,8 +94,8 @@
 	}
 }
 
-// capacityElsewhere looks for free capacity for all bound tasks of a job on machines that are not
-// drained, as if its own tasks had left theirs.
+// capacityElsewhere searches for free capacity for all bound tasks of a job on machines that are not drained, as
+// if the tasks had left their present machines.
 func (cs *ClusterState) capacityElsewhere(job *Job, now time.Time) (places []assignment, placeable int) {
 	own := map[*Machine]int{}
 	for _, task := range job.bound.All() {
@@ -104,9 +104,10 @@
 	return cs.capacityForTasks(job, job.bound.Len(), own, now)
 }
 
-// capacityForTasks looks for free capacity for at most so many tasks of a job, as if as many of its own as are
-// given had left their machines; nil: its tasks stay. It returns the places and how many tasks they take. The
-// tasks of a job that must stay in one zone are placed in the zone that takes most.
+// capacityForTasks searches for free capacity for at most the given number of tasks of a job. own is the number
+// of the job's tasks by machine that are assumed to have left; if it is nil, the job's tasks stay.
+// capacityForTasks returns the places and the number of tasks that they can run. For a job that must stay in one
+// zone, all places are in the zone with capacity for most tasks.
 func (cs *ClusterState) capacityForTasks(job *Job, most int, own map[*Machine]int, now time.Time) (places []assignment, placeable int) {
 	for _, zone := range cs.zonesFor(job) {
 		if found, placed := cs.capacityInZone(job, zone, most, own, now); placed > placeable {
@@ -116,11 +117,11 @@
 	return places, placeable
 }
 
-// capacityInZone is capacityForTasks for one zone; for all zones together if it has no name.
+// capacityInZone does the work of capacityForTasks for one zone, or for all zones together if zone is empty.
 func (cs *ClusterState) capacityInZone(job *Job, zone string, most int, own map[*Machine]int, now time.Time) (places []assignment, placed int) {
 	pools := cs.poolsFor(job)
 	tasksInZone := map[string]int{}
-	if own == nil { // else its tasks move
+	if own == nil { // otherwise the job's tasks move
 		for _, task := range job.bound.All() {
 			tasksInZone[task.machine.Pool.Zone]++
 		}
@@ -144,11 +145,12 @@
 	return places, placed
 }
 
-// drainRequestLead is how much earlier than its boot time before the deadline a machine is demanded.
+// drainRequestLead is added to the boot time of a machine: before the deadline of a drain, machines are demanded
+// this much earlier than the boot time alone requires.
 const drainRequestLead = 10 * time.Second
 
-// drainDemands returns the demands of gangs that are to leave drained machines and have no capacity
-// elsewhere, from as long before the deadline as a machine boots.
+// drainDemands returns the demands of gangs that are to leave drained machines and have no capacity elsewhere. A
+// demand begins a machine's boot time plus drainRequestLead before the deadline.
 func (cs *ClusterState) drainDemands(now time.Time, capacity *freeCapacity) (demands []UnmetDemand) {
 	if cs.drains.Len() == 0 || !cs.complete {
 		return nil
@@ -161,7 +163,8 @@
 		if (move.step != gangRunToDeadline && move.step != gangAwaitCapacity) || now.Add(cs.boot(job)+drainRequestLead).Before(move.deadline) {
 			continue
 		}
-		// Its own capacity on machines that stay is not in the free capacity.
+		// The free capacity doesn't include the capacity that the gang itself uses on machines that aren't
+		// drained, so its members there need no other capacity.
 		own := 0
 		for _, task := range job.bound.All() {
 			if task.machine.usable() {
--- a/internal/placement/inherited_priority.go
+++ b/internal/placement/inherited_priority.go
@@ -6,11 +6,12 @@
 
 // InheritedPriority is what a job inherits from the jobs that depend on it.
 type InheritedPriority struct {
-	Rank int       // the least effective priority
-	Due  time.Time // zero: none
+	Rank int       // lower bound of the job's effective priority
+	Due  time.Time // when the job should be complete; zero: no due time is inherited
 }
 
-// SetInheritedPriorities replaces what the open jobs inherit from those that depend on them.
+// SetInheritedPriorities replaces the priorities and due times that the open jobs inherit from the jobs that
+// depend on them.
 func (cs *ClusterState) SetInheritedPriorities(inherited map[string]InheritedPriority) {
 	cs.inherited = inherited
 	for id, job := range cs.jobs.All() {
@@ -18,8 +19,8 @@
 	}
 }
 
-// applyInheritedPriority computes a job's effective priority and when it is due, from its own and from what it
-// inherits.
+// applyInheritedPriority computes a job's effective priority and due time from its own values and the inherited
+// ones.
 func (j *Job) applyInheritedPriority(inherited InheritedPriority) {
 	j.effectivePriority, j.dueWithin = j.Spec.Priority.Rank(), j.Spec.Deadline
 	j.effectivePriority = max(j.effectivePriority, inherited.Rank)
@@ -31,8 +32,9 @@
 	}
 }
 
-// preemptionPriority is the priority with which a job preempts: an inherited one only once the time until it is
-// due runs out. Most jobs are in time without it, and most of what is preempted for them is lost.
+// preemptionPriority returns the priority with which a job preempts. An inherited priority counts only once the
+// time until the job is due runs out: most jobs are in time without preempting, and most of the work that is
+// preempted for them is lost.
 func (j *Job) preemptionPriority(now time.Time) int {
 	if j.dueWithin > 0 && now.Add(j.Spec.Estimate*3/2).After(j.Accepted.Add(j.dueWithin)) {
 		return j.effectivePriority
@@ -40,8 +42,9 @@
 	return j.Spec.Priority.Rank()
 }
 
-// queuePriority is a job's priority in the queue. A job with an inherited priority goes behind those that have
-// that priority by themselves, whose time doesn't depend on others, and before all of lower priority.
+// queuePriority returns a job's priority in the queue. A job with an inherited priority is ordered behind the
+// jobs that have that priority themselves, whose time doesn't depend on other jobs, and before all jobs of lower
+// priority.
 func (j *Job) queuePriority() int {
 	if own := j.Spec.Priority.Rank(); own >= j.effectivePriority {
 		return 2 * own
