--- a/internal/placement/images.go
+++ b/internal/placement/images.go
@@ -12,8 +12,8 @@
 	gb   float64
 }
 
-// addCachedImage records that a machine has a job's image: a task of the job has finished fetching. The cache
-// holds the most recently used images.
+// addCachedImage records that a machine has a job's image, because a task of the job has finished fetching it.
+// The cache holds the most recently used images.
 func (cs *ClusterState) addCachedImage(machine *Machine, spec *model.Job) {
 	if n := len(machine.images); n > 0 && machine.images[n-1].name == spec.Image {
 		return
@@ -32,7 +32,7 @@
 	}
 }
 
-// dropImages forgets the images of a machine.
+// dropImages removes the record of all images of a machine.
 func (cs *ClusterState) dropImages(machine *Machine) {
 	for _, image := range machine.images {
 		cs.removeHolder(machine, image.name)
@@ -40,7 +40,7 @@
 	machine.images = nil
 }
 
-// addHolder adds a machine to those that have an image.
+// addHolder adds a machine to the holders of an image, the machines that have it.
 func (cs *ClusterState) addHolder(machine *Machine, image string) {
 	if cs.imageHolders[image] == nil {
 		cs.imageHolders[image] = model.NewTable[string, *Machine]()
@@ -48,7 +48,7 @@
 	cs.imageHolders[image].Put(machine.Name, machine)
 }
 
-// removeHolder removes a machine from those that have an image.
+// removeHolder removes a machine from the holders of an image.
 func (cs *ClusterState) removeHolder(machine *Machine, image string) {
 	cs.imageHolders[image].Delete(machine.Name)
 	if cs.imageHolders[image].Len() == 0 {
--- a/internal/placement/limits.go
+++ b/internal/placement/limits.go
@@ -19,28 +19,29 @@
 		if usage := cs.teamUsages[name]; usage != nil {
 			usage.team = team
 		}
-		cs.capacityEvents++ // what a limit held back may start
+		cs.capacityEvents++ // jobs that the old limit held back may start
 	}
 }
 
-// wholeLimit is the limit of a job's team in the settings, whatever share of it other regions have now.
+// wholeLimit returns the configured limit of a job's team, of which other regions may have a share at the moment.
 //
-// Guard: estimates of how long a job keeps its team's limit busy divided by what the team may use here at
-// the moment. Where that is next to nothing they overflowed, and the job counted as the most urgent of all.
+// Guard: estimates of how long a job uses up its team's limit were divided by the part of the limit that the
+// team has in this region at the moment. Where that part was close to zero the estimates overflowed, and the job
+// counted as the most urgent of all.
 func (cs *ClusterState) wholeLimit(job *Job) model.Size {
 	return cs.configuredTeams[job.Spec.Team].Limit
 }
 
-// TeamDemand is what a team's tasks use, and what its jobs wait for.
+// TeamDemand is the capacity that a team's tasks use, and the capacity that its jobs wait for.
 type TeamDemand struct {
 	Used    model.Size // by its bound tasks
 	Waiting model.Size // for its unplaced tasks
-	Rank    int        // effective priority of the first job that waits
+	Rank    int        // effective priority of the job that waits with the highest priority, the oldest of equals
 	Since   time.Time  // when that job was accepted
 }
 
-// Demands returns the demands of all teams. It reports false if they are not known, because the state is not
-// complete or orphaned tasks run, whose teams are not known.
+// Demands returns the demands of all teams. It returns false if they are not known, because the cluster state is
+// incomplete or orphaned tasks run, whose teams are not known.
 func (cs *ClusterState) Demands() (map[string]TeamDemand, bool) {
 	if !cs.complete || cs.orphanedTasks() > 0 {
 		return nil, false
--- a/internal/placement/orders.go
+++ b/internal/placement/orders.go
@@ -5,10 +5,10 @@
 	"github.com/marlwood/marlwood/internal/peers/peerspb"
 )
 
-// Orders returns the orders for a member that it has not acknowledged.
+// Orders returns the orders for a controller, given by its member name, that it has not acknowledged.
 func (cs *ClusterState) Orders(member string) []*peerspb.Order { return cs.outbox[member] }
 
-// OrdersAcknowledged deletes the orders up to the last one that a member has applied.
+// OrdersAcknowledged deletes the orders for a controller up to the last one that it has applied.
 func (cs *ClusterState) OrdersAcknowledged(member string, applied uint64) {
 	queue := cs.outbox[member]
 	acknowledged := 0
@@ -18,7 +18,8 @@
 	cs.outbox[member] = queue[acknowledged:]
 }
 
-// sendOrder queues an order for the owner of a machine's pool, and returns its number; 0 if there is no owner.
+// sendOrder queues an order for the owner of a machine's pool and returns the order's number, or 0 if the pool
+// has no owner.
 func (cs *ClusterState) sendOrder(machine *Machine, order *peerspb.Order) uint64 {
 	owner := cs.owners[machine.Pool]
 	if owner == "" {
@@ -33,7 +34,7 @@
 	return order.Id
 }
 
-// sendStop orders a bound task to be stopped.
+// sendStop orders a machine to stop a bound task.
 func (cs *ClusterState) sendStop(task *Task) {
 	task.stopToken = cs.token
 	cs.sendOrder(task.machine, &peerspb.Order{
@@ -45,18 +46,18 @@
 	})
 }
 
-// sendStopReported orders a reported task to be stopped at once.
+// sendStopReported orders a machine to stop a reported task at once, without time to write a checkpoint.
 func (cs *ClusterState) sendStopReported(machine *Machine, reported *peerspb.Task) {
 	cs.sendOrder(machine, &peerspb.Order{Op: peerspb.Op_OP_STOP, Job: reported.Job, Index: reported.Index, Attempt: reported.Attempt})
 }
 
-// sendForget lets a machine forget a task that exited.
+// sendForget orders a machine to forget a task that exited.
 func (cs *ClusterState) sendForget(machine *Machine, reported *peerspb.Task) {
 	cs.sendOrder(machine, &peerspb.Order{Op: peerspb.Op_OP_FORGET, Job: reported.Job, Index: reported.Index, Attempt: reported.Attempt})
 }
 
-// sendForgetIfStored lets a machine forget a task that exited once nothing depends on its report: a finished
-// task only after the stored completion bitmap has it.
+// sendForgetIfStored orders a machine to forget a task that exited, unless the machine's report of the task is
+// still needed. The report of a finished task is needed until the stored completion bitmap contains the task.
 func (cs *ClusterState) sendForgetIfStored(machine *Machine, job *Job, reported *peerspb.Task) {
 	if model.Cause(reported.Cause) == model.CauseDone && !job.storedFinished.Has(int(reported.Index)) {
 		return
@@ -64,8 +65,8 @@
 	cs.sendForget(machine, reported)
 }
 
-// ProbeUnseen lets the owners probe the machines from which no heartbeat was reported under our token, rather
-// than wait for their next heartbeats.
+// ProbeUnseen orders the pool owners to probe the machines from which no heartbeat was reported under the
+// leader's token, so that the leader need not wait for their next heartbeats.
 func (cs *ClusterState) ProbeUnseen() {
 	for _, machine := range cs.machines.All() {
 		if machine.Phase == Unseen && machine.Addr != "" {
--- a/internal/placement/replicas.go
+++ b/internal/placement/replicas.go
@@ -6,19 +6,21 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// A replica's machine is chosen by the time that it is expected to lose there. Its image is on some machines,
-// which speaks for these; replicas of one job on one machine fail together, which speaks for the others.
+// The machine for a replica is chosen by the time that the replica is expected to lose there. A machine that has
+// the image saves the fetch; but replicas of one job on the same machine fail together, so another machine may be
+// the better choice.
 //
-// Guard: a machine with the image used to come before every other machine, whatever ran there; replicas of
-// several jobs were started on one machine at once, whose fetches shared its rate, and none was up for minutes.
+// Guard: a machine with the image used to be preferred to every other machine, whatever ran there. Replicas of
+// several jobs were started on one machine at once, their fetches shared the machine's rate, and none was up for
+// minutes.
 
-// zoneLossRarity is how many times rarer the loss of a zone is expected to be than that of a machine, by what it
-// is worth to a replica not to share the zone.
+// zoneLossRarity is how many times rarer the loss of a zone is expected to be than the loss of a machine. The
+// value of not sharing a zone is the value of not sharing a machine divided by it.
 const zoneLossRarity = 8
 
-// replicaLoss is the time that a replica is expected to lose on a machine: until its image is there, and what
-// the operators say it is worth not to share the machine, for each replica of its job there, and a part of that
-// for each in the zone. It is only compared, never added to anything.
+// replicaLoss returns the time that a replica is expected to lose on a machine. It is the time until the image is
+// there, plus Options.Apart for each other replica of the job on the machine, plus a part of Options.Apart for
+// each one in the zone. The result is only compared with other losses, never added to other times.
 func (cs *ClusterState) replicaLoss(job *Job, machine *Machine, now time.Time) time.Duration {
 	loss := cs.fetchTime(job, machine, now)
 	onMachine, inZone := 0, 0
@@ -33,7 +35,7 @@
 	return loss + time.Duration(onMachine)*cs.opt.Apart + time.Duration(onMachine+inZone)*cs.opt.Apart/zoneLossRarity
 }
 
-// fetchTime is how long it takes until a job's image is on a machine. What is fetched at the same time shares
+// fetchTime returns the time until a job's image is on a machine. Images that are fetched at the same time share
 // the machine's rate.
 func (cs *ClusterState) fetchTime(job *Job, machine *Machine, now time.Time) time.Duration {
 	speed := cs.types[machine.Pool.Type].FetchGBPerS
--- a/internal/placement/upcoming_jobs.go
+++ b/internal/placement/upcoming_jobs.go
@@ -12,8 +12,8 @@
 	DependsOn []string
 }
 
-// ExpectJobs replaces the jobs that are about to be released. Machines are requested and kept for those whose
-// release is no further off than a boot takes; they are not in the queue.
+// ExpectJobs replaces the jobs that are about to be released. Machines are requested and kept for the jobs whose
+// release is expected within the boot time of a machine. These jobs are not in the queue.
 func (cs *ClusterState) ExpectJobs(upcoming []UpcomingJob, now time.Time) {
 	cs.upcoming = cs.upcoming[:0]
 	for _, expected := range upcoming {
@@ -36,7 +36,7 @@
 	}
 }
 
-// endsWithin tells whether a job will be done within some time, as estimated.
+// endsWithin reports whether a job is estimated to be done within a duration.
 func (cs *ClusterState) endsWithin(job *Job, within time.Duration, now time.Time) bool {
 	if job == nil || job.Unplaced() > 0 {
 		return false
