--- a/internal/placement/deadline_boost_test.go
+++ b/internal/placement/deadline_boost_test.go
@@ -7,14 +7,14 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// A job with a deadline boost comes to the head of all priorities, uses warm headroom, and isn't preempted for
-// those without; it preempts nothing that it could not preempt before.
+// A job with a deadline boost is first in the queue whatever its priority, uses warm headroom, and isn't preempted
+// for jobs without a boost. It preempts no task that it could not preempt without the boost.
 func TestDeadlineBoost(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		age     float64 // of the low job
-		first   string
-		stopped bool // for a high job without a boost
+		age     float64 // seconds since the low job was accepted
+		first   string  // in the queue
+		stopped bool    // the low job may be preempted for a high job without a boost
 	}{
 		{"young", 30, "high", true},
 		{"boosted", 225, "low", false},
@@ -40,10 +40,10 @@
 			t.Errorf("%s: a query changed the cluster state: %v", c.name, err)
 		}
 		if q := b.queue(at(c.age)); q[0].Spec.ID != c.first {
-			t.Errorf("%s: %s is first", c.name, q[0].Spec.ID)
+			t.Errorf("%s: %s is first in the queue", c.name, q[0].Spec.ID)
 		}
 		if got := b.round(c.age); (b.machineOf("low", 1) != "") != (c.first == "low") || got == 0 {
-			t.Errorf("%s: %d placed, the second of low on %q", c.name, got, b.machineOf("low", 1))
+			t.Errorf("%s: %d tasks placed, the second task of low on %q", c.name, got, b.machineOf("low", 1))
 		}
 		low, high := b.jobs.At("low"), b.jobs.At("high")
 		victim := &Task{job: low, state: model.TaskRunning}
--- a/internal/placement/inherited_priority_test.go
+++ b/internal/placement/inherited_priority_test.go
@@ -8,8 +8,8 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// A job is queued by the priority and due time that it inherits, until they are gone.
-func TestHasten(t *testing.T) {
+// A job is queued by the priority and the due time that it inherits, for as long as it inherits them.
+func TestQueueUsesInheritedPriority(t *testing.T) {
 	b := newBench(t)
 	b.job("plain", nil)
 	b.SetInheritedPriorities(map[string]InheritedPriority{"early": {Rank: model.High.Rank(), Due: at(50)}, "plain": {Rank: model.Low.Rank()}})
@@ -23,23 +23,23 @@
 		return strings.Join(got, " ")
 	}
 	if got := order(); got != "early dated plain" {
-		t.Errorf("with inherited priority: %s", got)
+		t.Errorf("queue with inherited priorities: %s", got)
 	}
 	if j := b.jobs.At("early"); j.dueWithin != 50*time.Second {
-		t.Errorf("due within %v", j.dueWithin)
+		t.Errorf("job with an inherited due time is due within %v", j.dueWithin)
 	}
 	if j := b.jobs.At("plain"); j.effectivePriority != model.Normal.Rank() {
-		t.Error("a job's own priority was lowered")
+		t.Error("an inherited priority lowered a job's own priority")
 	}
 	b.SetInheritedPriorities(nil)
 	if got := order(); got != "dated plain early" {
-		t.Errorf("afterwards: %s", got)
+		t.Errorf("queue without inherited priorities: %s", got)
 	}
 }
 
-// A job preempts with an inherited priority only once its time is running out. Before that, most of what was
-// preempted for it was lost for nothing.
-func TestPower(t *testing.T) {
+// A job preempts with an inherited priority only once its time is running out. It guards against preemptions before
+// that: most of the work that was preempted was lost for nothing.
+func TestPreemptionPriority(t *testing.T) {
 	b := newBench(t)
 	b.job("early", func(j *model.Job) { j.Priority, j.Estimate = model.Low, 20*time.Second })
 	b.job("own", func(j *model.Job) { j.Priority = model.High })
@@ -50,30 +50,30 @@
 		want model.Priority
 	}{{"early", 10, model.Low}, {"early", 25, model.High}, {"early", 60, model.High}, {"own", 1, model.High}} {
 		if got := b.jobs.At(c.id).preemptionPriority(at(c.now)); got != c.want.Rank() {
-			t.Errorf("%s at %v: %d", c.id, c.now, got)
+			t.Errorf("job %s at %v s: preemption priority %d", c.id, c.now, got)
 		}
 	}
 	b.SetInheritedPriorities(map[string]InheritedPriority{"early": {Rank: model.High.Rank()}})
 	if b.jobs.At("early").preemptionPriority(at(99)) != model.Low.Rank() {
-		t.Error("it inherits no due time, but preempts with the inherited priority")
+		t.Error("a job that inherits no due time preempts with the inherited priority")
 	}
 }
 
-// Machines are rented for a job that is about to be released, no sooner than they
-// take to boot; it is not in the queue and takes nothing.
-func TestExpect(t *testing.T) {
+// Machines are demanded for a job that is expected to be released within their boot time, but not earlier. Until it
+// is released, the job is not in the queue and is not placed.
+func TestMachinesDemandedForUpcomingJob(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		estimate float64 // of the job that it depends on
 		started  bool
 		gone     bool
 		now      float64
-		want     int
+		want     int // tasks of the upcoming job for which machines are demanded
 	}{
 		{"its dependency has not started", 20, false, false, 1, 0},
 		{"its dependency ends within a boot", 20, true, false, 1, 6},
 		{"its dependency takes longer", 200, true, false, 1, 0},
-		{"until it is nearly done", 120, true, false, 100, 6},
+		{"its long dependency is nearly done", 120, true, false, 100, 6},
 		{"its dependency is not known", 20, true, true, 1, 0},
 	} {
 		b := newBench(t)
@@ -101,7 +101,7 @@
 			}
 		}
 		if got != c.want || b.jobs.At("second") != nil || len(b.queue(at(c.now))) > 1 {
-			t.Errorf("%s: machines for %d tasks, want %d", c.name, got, c.want)
+			t.Errorf("%s: machines are demanded for %d tasks, want %d", c.name, got, c.want)
 		}
 	}
 }
--- a/internal/placement/limits_test.go
+++ b/internal/placement/limits_test.go
@@ -8,8 +8,8 @@
 	"github.com/marlwood/marlwood/internal/peers/peerspb"
 )
 
-// A limit that is replaced holds from then on, for what was bound before as well, outlives a copy of the
-// state, and is that of one cluster state only.
+// A replaced limit holds at once and counts the tasks that were bound before. A copy of the state from Export and
+// Import has the same limit; other cluster states keep theirs.
 func TestSetLimits(t *testing.T) {
 	b := newBench(t)
 	b.machine("m", "big", "a", &peerspb.Task{Job: "x", Index: 0, Attempt: 1, State: "running"})
@@ -20,7 +20,7 @@
 	for _, c := range []struct{ limit, headroom float64 }{{4, 1}, {2, 0}, {1e-9, 0}, {10, 4}, {100, 8}} {
 		b.SetLimits(map[string]model.Size{"tight": {CPUs: c.limit}, "unknown": {CPUs: 1}})
 		if got := b.tasksWithinLimit(x); got != int(c.headroom) {
-			t.Errorf("with a limit of %g the headroom is %d, want %g", c.limit, got, c.headroom)
+			t.Errorf("with a limit of %g CPUs, %d more tasks are allowed, want %g", c.limit, got, c.headroom)
 		}
 		s, err := b.Export()
 		if err != nil {
@@ -28,38 +28,41 @@
 		}
 		again, err := Import(b.opt, b.configuredTeams, s)
 		if err != nil || again.tasksWithinLimit(again.jobs.At("x")) != int(c.headroom) {
-			t.Errorf("with a limit of %g a copy has another headroom: %v", c.limit, err)
+			t.Errorf("with a limit of %g CPUs, a copy allows a different number of tasks: %v", c.limit, err)
 		}
 	}
 	if other := newBench(t); other.teams["tight"].Limit.CPUs != 4 {
-		t.Error("another cluster state has its limit")
+		t.Error("the limit of another cluster state has changed")
 	}
 }
 
-// What teams take and wait for; nothing is known while the state is not complete or orphaned tasks run.
+// Demands returns what each team uses and waits for. The demands are not known while the cluster state is
+// incomplete or orphaned tasks run.
 func TestDemands(t *testing.T) {
 	b := newBench(t)
 	b.machine("m", "big", "a")
 	b.job("x", func(j *model.Job) { j.Team, j.Tasks, j.Priority = "tight", 3, model.Low })
 	b.job("y", func(j *model.Job) { j.Team, j.Tasks, j.Priority = "tight", 2, model.High })
 	if _, known := b.Demands(); known {
-		t.Error("it is known before the state is complete")
+		t.Error("demands are known before the cluster state is complete")
 	}
 	b.TryComplete()
 	b.startTask(at(1), b.jobs.At("x"), 0, b.machines.At("m"), b.nextAttempt())
 	d, known := b.Demands()
 	x := b.jobs.At("x").Spec.Size
 	if got := d["tight"]; !known || got.Used != x || got.Waiting != x.Times(4) || got.Rank != b.jobs.At("y").effectivePriority {
-		t.Errorf("%v, %+v", known, got)
+		t.Errorf("demands known: %v, demand of the team: %+v", known, got)
 	}
 	b.report(2, "m", "current", 100, &peerspb.Task{Job: "nobody", Index: 0, Attempt: 9, State: "running"})
 	if _, known := b.Demands(); known {
-		t.Error("it is known while tasks run that nobody knows")
+		t.Error("demands are known while orphaned tasks run")
 	}
 }
 
-// What a job goes by in the queue does not hang on how much of its team's limit is here at the moment.
-func TestOrderByWholeLimit(t *testing.T) {
+// A job's due time and deadline facts depend on its team's configured limit, not on the part of the limit that the
+// region has at the moment. It guards against a job that counts as the most urgent of all while that part is close
+// to zero.
+func TestQueueOrderUsesConfiguredLimit(t *testing.T) {
 	b := newBench(t)
 	b.opt.ShortFirst, b.opt.BeginWithin = 10, 4*time.Minute
 	b.machine("m", "big", "a")
@@ -72,9 +75,9 @@
 	b.SetLimits(map[string]model.Size{"tight": {CPUs: 1e-9}})
 	b.UnmetDemands(at(1))
 	if got := b.dueTime(x, at(1), true); !got.Equal(due) {
-		t.Errorf("due at %v with a limit, at %v with next to none", due, got)
+		t.Errorf("due at %v with the configured limit, at %v with a limit close to zero", due, got)
 	}
 	if got := b.deadlineFacts(x); got != facts {
-		t.Errorf("%+v with a limit, %+v with next to none", facts, got)
+		t.Errorf("facts %+v with the configured limit, %+v with a limit close to zero", facts, got)
 	}
 }
--- a/internal/placement/placement_rule_test.go
+++ b/internal/placement/placement_rule_test.go
@@ -9,18 +9,18 @@
 	"github.com/marlwood/marlwood/internal/peers/peerspb"
 )
 
-// The paper's rule: the least occupancy over capacity wins, not the most free capacity;
-// ties go to the larger type.
-func TestRule(t *testing.T) {
+// The rule of the paper that this scheduler follows: the machine with the lowest used share of its capacity is
+// chosen, not the one with most free capacity. Ties go to the larger type.
+func TestLowestUsedShareWins(t *testing.T) {
 	for _, c := range []struct {
 		name       string
-		small, big int // tasks of two CPUs there
+		small, big int // number of tasks of two CPUs on each machine
 		want       string
 	}{
-		{"tie goes to the larger type", 0, 0, "big"},
-		{"lower share wins", 0, 1, "small"},
-		{"share, not free capacity", 1, 7, "big"},
-		{"full pools do not count", 2, 15, "big"},
+		{"a tie goes to the larger type", 0, 0, "big"},
+		{"the lower used share wins", 0, 1, "small"},
+		{"the used share decides, not the free capacity", 1, 7, "big"},
+		{"a full machine is not chosen", 2, 15, "big"},
 	} {
 		b := newBench(t)
 		b.job("load", func(j *model.Job) { j.Tasks, j.Image = 20, "other" })
@@ -37,28 +37,28 @@
 		b.jobs.At("load").retryAt = at(100)
 		b.job("x", nil)
 		if b.round(1); b.machineOf("x", 0) != c.want {
-			t.Errorf("%s: on %q", c.name, b.machineOf("x", 0))
+			t.Errorf("%s: placed on %q", c.name, b.machineOf("x", 0))
 		}
 	}
 }
 
-// Of the drawn machines those that have the image come first, and those that
-// have it are sampled as from a pool of their own, while they have it.
-func TestImages(t *testing.T) {
+// Of the sampled machines, those that have the image are preferred. Machines that have the image are also sampled
+// as from a pool of their own, for as long as they have it.
+func TestMachinesWithImageArePreferred(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		prepare func(b bench)
 		want    string
 	}{
-		{"the one that has it, though it is fuller", func(bench) {}, "b"},
-		{"not while it fetches", func(b bench) { b.dropImages(b.machines.At("b")) }, "a"},
-		{"not when it is full", func(b bench) { b.machines.At("b").load = model.Size{CPUs: 3} }, "a"},
-		{"not after others filled the cache", func(b bench) {
+		{"the machine with the image, though its used share is higher", func(bench) {}, "b"},
+		{"not a machine that is still fetching it", func(b bench) { b.dropImages(b.machines.At("b")) }, "a"},
+		{"not a full machine", func(b bench) { b.machines.At("b").load = model.Size{CPUs: 3} }, "a"},
+		{"not a machine whose cache was filled by other images", func(b bench) {
 			for i := range 3 {
 				b.addCachedImage(b.machines.At("b"), &model.Job{Image: fmt.Sprint(i), ImageGB: 2})
 			}
 		}, "a"},
-		{"not when it is gone", func(b bench) { b.MachineTerminated("b", at(1)) }, "a"},
+		{"not a terminated machine", func(b bench) { b.MachineTerminated("b", at(1)) }, "a"},
 	} {
 		b := newBench(t)
 		small := b.types["small"]
@@ -70,23 +70,23 @@
 		b.job("x", func(j *model.Job) { j.ImageGB = 2 })
 		c.prepare(b)
 		if b.round(2); b.machineOf("x", 0) != c.want {
-			t.Errorf("%s: on %q, want %q", c.name, b.machineOf("x", 0), c.want)
+			t.Errorf("%s: placed on %q, want %q", c.name, b.machineOf("x", 0), c.want)
 		}
 	}
 }
 
-// A task that may wait only so long goes where it can start in time, a long one
-// to the cheapest of the drawn machines, a short one by the paper's rule.
-func TestChoice(t *testing.T) {
+// A task with an objective for its start goes to a sampled machine where it can start in time, a long task to the
+// cheapest one, and a short task to the one with the lowest used share.
+func TestChoiceByObjectiveAndPrice(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		job  func(j *model.Job)
 		want string
 	}{
-		{"short: the least in use", func(j *model.Job) { j.Spot, j.Estimate = true, 20*time.Second }, "empty"},
-		{"long: the cheapest", func(j *model.Job) { j.Spot, j.Estimate = true, 3*time.Minute }, "spot"},
-		{"long, but not on spot machines", func(j *model.Job) { j.Estimate = 3 * time.Minute }, "empty"},
-		{"urgent: where the image comes in time", func(j *model.Job) {
+		{"a short task: the lowest used share", func(j *model.Job) { j.Spot, j.Estimate = true, 20*time.Second }, "empty"},
+		{"a long task: the cheapest machine", func(j *model.Job) { j.Spot, j.Estimate = true, 3*time.Minute }, "spot"},
+		{"a long task that may not run on spot machines", func(j *model.Job) { j.Estimate = 3 * time.Minute }, "empty"},
+		{"an urgent task: a machine that fetches the image in time", func(j *model.Job) {
 			j.Class, j.Spot, j.Estimate, j.ImageGB = "urgent", true, 3*time.Minute, 4
 		}, "fast"},
 	} {
@@ -105,12 +105,12 @@
 		b.jobs.At("load").retryAt = at(100)
 		b.job("x", c.job)
 		if b.round(1); b.machineOf("x", 0) != c.want {
-			t.Errorf("%s: on %q, want %q", c.name, b.machineOf("x", 0), c.want)
+			t.Errorf("%s: placed on %q, want %q", c.name, b.machineOf("x", 0), c.want)
 		}
 	}
 }
 
-// onAllMachines changes all machines of a bench.
+// onAllMachines returns a function that applies a change to all machines of a bench.
 func onAllMachines(change func(b bench, m *Machine)) func(b bench) {
 	return func(b bench) {
 		for _, m := range b.machines.All() {
@@ -119,6 +119,7 @@
 	}
 }
 
+// Each rule that restricts where, or how many, tasks of a job may be placed.
 func TestPlacementRules(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -126,24 +127,24 @@
 		prepare func(b bench)
 		placed  int
 	}{
-		{"array takes what there is", func(j *model.Job) { j.Tasks = 9 }, nil, 8},
-		{"gang goes whole", func(j *model.Job) { j.Tasks, j.Shape = 8, model.Gang }, nil, 8},
-		{"or not at all", func(j *model.Job) { j.Tasks, j.Shape = 9, model.Gang }, nil, 0},
+		{"array starts in part", func(j *model.Job) { j.Tasks = 9 }, nil, 8},
+		{"gang starts whole", func(j *model.Job) { j.Tasks, j.Shape = 8, model.Gang }, nil, 8},
+		{"gang does not start in part", func(j *model.Job) { j.Tasks, j.Shape = 9, model.Gang }, nil, 0},
 		{"gang in one zone", func(j *model.Job) { j.Tasks, j.Shape, j.OneZone = 4, model.Gang, true }, nil, 4},
-		{"too large for one zone", func(j *model.Job) { j.Tasks, j.Shape, j.OneZone = 5, model.Gang, true }, nil, 0},
+		{"gang too large for one zone", func(j *model.Job) { j.Tasks, j.Shape, j.OneZone = 5, model.Gang, true }, nil, 0},
 		{"array in one zone", func(j *model.Job) { j.Tasks, j.OneZone = 8, true }, nil, 4},
-		{"half a zone at most", func(j *model.Job) { j.Tasks, j.Spread, j.Zone = 7, true, "a" }, nil, 4},
-		{"the only zone", func(j *model.Job) { j.Tasks, j.Zone = 8, "b" }, nil, 4},
-		{"the only type", func(j *model.Job) { j.Types = []string{"big"} }, nil, 0},
+		{"at most half of a spread job in a zone", func(j *model.Job) { j.Tasks, j.Spread, j.Zone = 7, true, "a" }, nil, 4},
+		{"allowed zone", func(j *model.Job) { j.Tasks, j.Zone = 8, "b" }, nil, 4},
+		{"allowed type", func(j *model.Job) { j.Types = []string{"big"} }, nil, 0},
 		{"team limit", func(j *model.Job) { j.Tasks, j.Team = 8, "tight" }, nil, 2},
 		{"gang over the limit waits", func(j *model.Job) { j.Tasks, j.Team, j.Shape = 3, "tight", model.Gang }, nil, 0},
-		{"no spot", nil, onAllMachines(func(_ bench, m *Machine) { m.Spot = true }), 0},
+		{"spot not allowed", nil, onAllMachines(func(_ bench, m *Machine) { m.Spot = true }), 0},
 		{"spot allowed", func(j *model.Job) { j.Spot = true }, onAllMachines(func(_ bench, m *Machine) { m.Spot = true }), 1},
 		{"no host record yet", nil, onAllMachines(func(_ bench, m *Machine) { m.Recorded = false }), 0},
 		{"cordoned", nil, onAllMachines(func(b bench, m *Machine) { b.Cordon(m) }), 0},
-		{"to be taken away", nil, onAllMachines(func(_ bench, m *Machine) { m.Notice = time.Second }), 0},
-		{"a machine out of reach", func(j *model.Job) { j.Tasks = 8 }, func(b bench) { b.report(0.5, "a0", "joining", 0) }, 6},
-		// A running task of an unknown job has a team and a size nobody knows.
+		{"recall announced", nil, onAllMachines(func(_ bench, m *Machine) { m.Notice = time.Second }), 0},
+		{"one machine is in phase joining", func(j *model.Job) { j.Tasks = 8 }, func(b bench) { b.report(0.5, "a0", "joining", 0) }, 6},
+		// The team and the size of a task of an unknown job are not known.
 		{"tasks of unknown jobs run", func(j *model.Job) { j.Tasks = 8 }, func(b bench) {
 			b.report(0.5, "a0", "current", 0, task("gone", 0, 1, model.TaskRunning, ""))
 		}, 0},
--- a/internal/placement/preemption_test.go
+++ b/internal/placement/preemption_test.go
@@ -8,9 +8,9 @@
 	"github.com/marlwood/marlwood/internal/peers/peerspb"
 )
 
-// Only tasks of strictly lower priority are preempted, what loses least first, and the
-// capacity is reserved for the job that needs it.
-func TestPreempt(t *testing.T) {
+// Only tasks of strictly lower priority are preempted, those that lose least first, and the capacity is reserved
+// for the job that they are preempted for.
+func TestPreemptsOnlyLowerPriority(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		prio  model.Priority
@@ -22,7 +22,7 @@
 		b.round(1)
 		b.report(2, "m", "current", 9, task("x", 0, b.jobs.At("x").bound.At(0).attempt, model.TaskRunning, ""))
 		b.report(9, "m", "current", 9, task("x", 0, b.jobs.At("x").bound.At(0).attempt, model.TaskRunning, ""))
-		b.round(9) // the other one again
+		b.round(9) // starts the other task again
 		x1 := b.jobs.At("x").bound.At(1)
 		b.report(10, "m", "current", 99, task("x", 0, b.jobs.At("x").bound.At(0).attempt, model.TaskRunning, ""),
 			task("x", 1, x1.attempt, model.TaskRunning, ""))
@@ -33,7 +33,7 @@
 		b.Preempt(at(20))
 		b.Preempt(at(20.1))
 		if got := b.orders(peerspb.Op_OP_STOP); got != c.stops {
-			t.Errorf("%s: %d stops", c.name, got)
+			t.Errorf("%s: %d tasks stopped", c.name, got)
 		}
 		if c.stops == 1 {
 			if !x1.stopping {
@@ -49,18 +49,18 @@
 	}
 }
 
-// Room for a gang is made where all of it can be, counting what is free and
-// where its image is; nothing is stopped if it cannot all be made.
-func TestPreemptGang(t *testing.T) {
+// Capacity for a gang is preempted where the whole gang fits, and where least is lost: free capacity and machines
+// with the gang's image are taken into account. No task is stopped if the gang can't start whole.
+func TestPreemptForGang(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		job   func(j *model.Job)
 		stops map[string]int // by machine
 	}{
-		{"in one zone", func(j *model.Job) { j.Tasks, j.OneZone = 2, true }, map[string]int{"a1": 1}},
-		{"in any", func(j *model.Job) { j.Tasks = 2 }, map[string]int{"b1": 1}},
-		{"where the image is", func(j *model.Job) { j.Tasks, j.Zone, j.Image, j.ImageGB = 1, "b", "i", 9 }, map[string]int{"b2": 1}},
-		{"not for a part", func(j *model.Job) { j.Tasks, j.OneZone = 4, true }, map[string]int{}},
+		{"all members in one zone", func(j *model.Job) { j.Tasks, j.OneZone = 2, true }, map[string]int{"a1": 1}},
+		{"members in any zone", func(j *model.Job) { j.Tasks = 2 }, map[string]int{"b1": 1}},
+		{"a machine with the image", func(j *model.Job) { j.Tasks, j.Zone, j.Image, j.ImageGB = 1, "b", "i", 9 }, map[string]int{"b2": 1}},
+		{"not enough capacity for the whole gang", func(j *model.Job) { j.Tasks, j.OneZone = 4, true }, map[string]int{}},
 	} {
 		b := newBench(t)
 		b.types["small"] = model.MachineType{Name: "small", Size: model.Size{CPUs: 4, MemoryGB: 16}, Zones: []string{"a", "b"}, FetchGBPerS: 0.5}
@@ -70,7 +70,7 @@
 			if name == "b2" {
 				b.jobs.At(id).Spec.Image = "i"
 			}
-			// b1 loses least, then a1, then b2.
+			// The task on b1 loses least, then that on a1, then that on b2.
 			b.machine(name, "small", name[:1], task(id, 0, 1, model.TaskRunning, ""))
 			b.jobs.At(id).bound.At(0).stateSince = at([]float64{5, 8, 2}[i])
 		}
@@ -95,17 +95,17 @@
 	}
 }
 
-// A gang waits for the capacity of others where its image is, if they lose less
-// than the fetch would, but only once.
-func TestPreemptRatherThanFetch(t *testing.T) {
+// A gang for which there is free capacity preempts a task on a machine that has its image instead, if that loses
+// less than the fetch. It waits for preempted capacity only once.
+func TestGangPreemptsToAvoidFetch(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		ran   float64 // seconds that the other task has run
+		ran   float64 // seconds for which the other task has run
 		want  string
 		stops int
 	}{
-		{"the other loses little", 2, "", 1},
-		{"the other loses much", 30, "free", 0},
+		{"the other task loses little", 2, "", 1},
+		{"the other task loses much", 30, "free", 0},
 	} {
 		b := newBench(t)
 		b.types["small"] = model.MachineType{Name: "small", Size: model.Size{CPUs: 4, MemoryGB: 16}, Zones: []string{"a"}, FetchGBPerS: 0.2}
@@ -117,31 +117,31 @@
 			j.Shape, j.Priority, j.Size, j.ImageGB = model.Gang, model.High, model.Size{CPUs: 4}, 4
 		})
 		if b.round(40); b.machineOf("g", 0) != c.want || b.orders(peerspb.Op_OP_STOP) != c.stops {
-			t.Errorf("%s: on %q after %d stops", c.name, b.machineOf("g", 0), b.orders(peerspb.Op_OP_STOP))
+			t.Errorf("%s: the gang is placed on %q, %d tasks stopped", c.name, b.machineOf("g", 0), b.orders(peerspb.Op_OP_STOP))
 		}
 		if b.round(42); b.machineOf("g", 0) != "free" {
-			t.Errorf("%s: waits on", c.name)
+			t.Errorf("%s: the gang still waits for the preempted capacity", c.name)
 		}
 	}
 }
 
-// Work of equal priority is preempted only to give another team its guarantee, and only where little is lost.
+// Tasks of equal priority are preempted only to give another team its guarantee, and only if little work is lost.
 func TestPreemptForGuarantee(t *testing.T) {
 	replica := func(j *model.Job) { j.Shape, j.CheckpointEvery, j.Estimate = model.Service, 0, 0 }
 	for _, c := range []struct {
 		name   string
 		team   string // of the waiting job
 		victim func(j *model.Job)
-		waits  float64
+		waited float64 // seconds for which the job has found no capacity
 		stops  int
 	}{
-		{"within the guarantee", "sure", nil, 5, 1},
-		{"the victim's team has its own guarantee", "sure", func(j *model.Job) { j.Team = "owner" }, 5, 0},
-		{"a victim without checkpoints", "sure", func(j *model.Job) { j.CheckpointEvery = 0 }, 5, 0},
-		{"a replica, which never ends", "sure", replica, 41, 1},
-		{"a replica, soon", "sure", replica, 39, 0},
-		{"no guarantee", "free", nil, 5, 0},
-		{"the guarantee is used up", "small", nil, 5, 0},
+		{"the job is within its team's guarantee", "sure", nil, 5, 1},
+		{"the victim is within its own team's guarantee", "sure", func(j *model.Job) { j.Team = "owner" }, 5, 0},
+		{"the victim writes no checkpoints", "sure", func(j *model.Job) { j.CheckpointEvery = 0 }, 5, 0},
+		{"the victim is a replica, the job has waited for long enough", "sure", replica, 41, 1},
+		{"the victim is a replica, the job has not waited for long enough", "sure", replica, 39, 0},
+		{"the job's team has no guarantee", "free", nil, 5, 0},
+		{"the job doesn't fit into its team's guarantee", "small", nil, 5, 0},
 	} {
 		b := spotBench(t)
 		b.teams["sure"] = model.Team{Name: "sure", Guarantee: model.Size{CPUs: 8}}
@@ -157,24 +157,24 @@
 		b.machine("m", "small", "a", task("x", 0, 1, model.TaskRunning, ""))
 		b.job("y", func(j *model.Job) { j.Team, j.Priority = c.team, model.Low })
 		b.TryComplete()
-		b.jobs.At("y").emptyRounds, b.jobs.At("y").unplacedSince = 3, at(10-c.waits)
+		b.jobs.At("y").emptyRounds, b.jobs.At("y").unplacedSince = 3, at(10-c.waited)
 		b.Preempt(at(10))
 		if got := b.orders(peerspb.Op_OP_STOP); got != c.stops {
-			t.Errorf("%s: %d stops", c.name, got)
+			t.Errorf("%s: %d tasks stopped", c.name, got)
 		}
 	}
 }
 
-// Capacity that is preempted for a job which must be spread over zones is capacity that it may use: nothing is
-// preempted or reserved in a zone that may take no more of it.
+// For a job that must be spread over zones, no capacity is preempted or reserved in a zone that may run no more of
+// its tasks. It guards against capacity that is reserved again and again although the job could never use it.
 func TestPreemptForSpread(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		shape    model.Shape
-		bound    []string // machines that tasks of it are on
-		reserved float64  // CPUs
+		bound    []string // machines that run tasks of the job
+		reserved float64  // CPUs reserved for the job
 	}{
-		{"a gang that only one zone has capacity for", model.Gang, nil, 0},
+		{"a gang for which only one zone has capacity", model.Gang, nil, 0},
 		{"a service, up to the zone's cap", model.Service, nil, 4},
 		{"a service that is at the zone's cap", model.Service, []string{"a0", "a1"}, 0},
 	} {
--- a/internal/placement/queue_test.go
+++ b/internal/placement/queue_test.go
@@ -8,13 +8,13 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// longCheckpointedTasks makes a job one of long tasks with checkpoints, of a class without an objective.
+// longCheckpointedTasks gives a job long tasks with checkpoints, and a class without an objective.
 func longCheckpointedTasks(j *model.Job) {
 	j.Class, j.Priority, j.Spot = "idle", model.Low, true
 	j.Estimate, j.CheckpointEvery, j.SaveTime = 5*time.Minute, 30*time.Second, 4*time.Second
 }
 
-// spotBench is a bench where small machines can be rented as spot machines.
+// spotBench returns a bench in which small machines are also available as spot machines.
 func spotBench(t *testing.T) bench {
 	t.Helper()
 	b := newBench(t)
@@ -25,7 +25,7 @@
 	return b
 }
 
-// Only spot machines are rented for long tasks that can wait.
+// Only spot machines are demanded for long tasks that can wait.
 func TestWaitsForSpot(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -34,15 +34,15 @@
 		want   bool
 	}{
 		{"no objective", nil, 600, true},
-		{"for too long", nil, 901, false},
+		{"no objective, but it has waited for too long", nil, 901, false},
 		{"short tasks", func(j *model.Job) { j.Estimate = 30 * time.Second }, 1, false},
-		{"no spot machines", func(j *model.Job) { j.Spot = false }, 1, false},
+		{"spot machines not allowed", func(j *model.Job) { j.Spot = false }, 1, false},
 		{"no spot machines of its type", func(j *model.Job) { j.Types = []string{"big"} }, 1, false},
 		{"a gang", func(j *model.Job) { j.Shape = model.Gang }, 1, false},
 		{"enough slack", func(j *model.Job) { j.Class, j.Estimate = "soon", 100*time.Second }, 99, true},
-		{"no more slack", func(j *model.Job) { j.Class, j.Estimate = "soon", 100*time.Second }, 101, false},
-		{"a deadline", func(j *model.Job) { j.Deadline = 5 * time.Minute }, 1, false},
-		{"to start soon", func(j *model.Job) { j.Class = "now" }, 1, false},
+		{"half of the slack used up", func(j *model.Job) { j.Class, j.Estimate = "soon", 100*time.Second }, 101, false},
+		{"a deadline without slack", func(j *model.Job) { j.Deadline = 5 * time.Minute }, 1, false},
+		{"an objective for the start", func(j *model.Job) { j.Class = "now" }, 1, false},
 	} {
 		b := spotBench(t)
 		b.job("x", func(j *model.Job) {
@@ -52,15 +52,15 @@
 			}
 		})
 		b.TryComplete()
-		needs := b.UnmetDemands(at(c.now))
-		if len(needs) != 1 || needs[0].SpotOnly != c.want {
-			t.Errorf("%s: %+v", c.name, needs)
+		demands := b.UnmetDemands(at(c.now))
+		if len(demands) != 1 || demands[0].SpotOnly != c.want {
+			t.Errorf("%s: unexpected demands: %+v", c.name, demands)
 		}
 	}
 }
 
-// Jobs go by priority, then guarantee, deadline and age; within a team's limit
-// short jobs go first, and a deadline that is lost counts no more.
+// The queue is ordered by priority, then guarantee, due time and age. Within a team's limit short jobs come first,
+// and a deadline that can no longer be met is ignored.
 func TestQueueOrder(t *testing.T) {
 	b := newBench(t)
 	b.opt.ShortFirst = 10
@@ -80,6 +80,6 @@
 		got = append(got, j.Spec.ID)
 	}
 	if want := "[first sure urgent soon asked plain short long lost]"; fmt.Sprint(got) != want {
-		t.Errorf("%v, want %v", got, want)
+		t.Errorf("order %v, want %v", got, want)
 	}
 }
--- a/internal/placement/replicas_test.go
+++ b/internal/placement/replicas_test.go
@@ -7,37 +7,37 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// A replica goes where it is expected to lose least: where its image is, unless one of its job runs there and the
-// fetch elsewhere takes less than not sharing the machine is worth; not where other images are being fetched.
-// Arrays go by the image and the share.
-func TestReplicas(t *testing.T) {
+// A replica is placed on the machine where it is expected to lose least time. That is a machine with its image,
+// unless another replica of the job runs there and the fetch elsewhere takes less than not sharing the machine is
+// worth. A machine that is fetching other images loses more. Tasks of arrays are placed by image and used share.
+func TestReplicaMachineChoice(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		gb      float64
+		gb      float64 // size of the image
 		shape   model.Shape
 		prepare func(b bench)
 		want    string
 	}{
-		{"to the machine with the image", 30, model.Service, func(b bench) { b.addCachedImage(b.machines.At("full"), b.jobs.At("x").Spec) }, "full"},
-		{"a small image: apart", 3, model.Service, func(b bench) {
+		{"the machine with the image", 30, model.Service, func(b bench) { b.addCachedImage(b.machines.At("full"), b.jobs.At("x").Spec) }, "full"},
+		{"a small image: not with another replica", 3, model.Service, func(b bench) {
 			b.addCachedImage(b.machines.At("full"), b.jobs.At("x").Spec)
 			b.startTask(at(0), b.jobs.At("x"), 0, b.machines.At("full"), 9)
 		}, "empty"},
-		{"a large image: together", 30, model.Service, func(b bench) {
+		{"a large image: with another replica", 30, model.Service, func(b bench) {
 			b.addCachedImage(b.machines.At("full"), b.jobs.At("x").Spec)
 			b.startTask(at(0), b.jobs.At("x"), 0, b.machines.At("full"), 9)
 		}, "full"},
-		{"not where another image is being fetched", 30, model.Service, func(b bench) {
+		{"not a machine that is fetching another image", 30, model.Service, func(b bench) {
 			b.startTask(at(0), b.jobs.At("other"), 9, b.machines.At("empty"), 9)
 		}, "full"},
-		{"where its own is being fetched, for most of it is there", 30, model.Service, func(b bench) {
+		{"a machine that has fetched most of its image", 30, model.Service, func(b bench) {
 			b.opt.Apart = time.Second
 			b.startTask(at(-100), b.jobs.At("x"), 0, b.machines.At("full"), 9)
 		}, "full"},
-		{"another zone rather than the same", 3, model.Service, func(b bench) {
+		{"another zone than that of another replica", 3, model.Service, func(b bench) {
 			b.startTask(at(0), b.jobs.At("x"), 0, b.machines.At("cordoned"), 9)
 		}, "full"},
-		{"an array goes to the machine with the image, together or not", 3, model.Array, func(b bench) {
+		{"an array: the machine with the image, though another task of it runs there", 3, model.Array, func(b bench) {
 			b.addCachedImage(b.machines.At("full"), b.jobs.At("x").Spec)
 			b.startTask(at(0), b.jobs.At("x"), 0, b.machines.At("full"), 9)
 		}, "full"},
@@ -61,7 +61,7 @@
 		c.prepare(b)
 		machines := []*Machine{b.machines.At("empty"), b.machines.At("full")}
 		if got := b.choose(b.jobs.At("x"), machines, at(1)); got == nil || got.Name != c.want {
-			t.Errorf("%s: on %v", c.name, got)
+			t.Errorf("%s: chosen machine %v", c.name, got)
 		}
 	}
 }
--- a/internal/placement/reserved_capacity_test.go
+++ b/internal/placement/reserved_capacity_test.go
@@ -6,14 +6,15 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// Capacity reserved for a job is consumed by its tasks that start there, and stays reserved for the others.
-func TestReservedRoomIsUsed(t *testing.T) {
+// The tasks of a job that start on a machine consume the capacity reserved there for the job. The rest stays
+// reserved for its other tasks.
+func TestStartsConsumeReservation(t *testing.T) {
 	for _, c := range []struct {
 		name     string
-		reserved int // tasks that capacity is reserved for
-		start    int
-		left     int
-	}{{"one of two", 2, 1, 1}, {"both", 2, 2, 0}, {"none", 2, 0, 2}, {"more than it was reserved for", 1, 2, 0}} {
+		reserved int // number of tasks for which capacity is reserved
+		start    int // number of tasks that start
+		left     int // number of tasks for which capacity stays reserved
+	}{{"one of two", 2, 1, 1}, {"both", 2, 2, 0}, {"none", 2, 0, 2}, {"more than capacity is reserved for", 1, 2, 0}} {
 		b := newBench(t)
 		b.machine("m", "big", "a")
 		b.TryComplete()
@@ -31,19 +32,20 @@
 	}
 }
 
-// Of two jobs with reservations on a machine, part of which is still held by a task that writes its checkpoint,
-// the one whose reservation is at least as strict uses what is free. Guard: simulation seed 7200007027.
-func TestFreeRoomOfTwoReservations(t *testing.T) {
+// Two jobs have reservations on a machine, and a part of the reserved capacity is still held by a task that writes
+// its checkpoint. The job whose reservation is at least as strict uses the part that is free. Guard: simulation
+// seed 7200007027.
+func TestStricterReservationUsesFreeCapacity(t *testing.T) {
 	for _, c := range []struct {
 		name       string
-		own, other reservedCapacity // until: seconds
-		free       bool
+		own, other reservedCapacity
+		free       bool // the job may use the free capacity
 	}{
 		{"equally strict", reservedCapacity{rank: 2, until: at(100)}, reservedCapacity{rank: 2, until: at(100)}, true},
-		{"its own is stricter", reservedCapacity{rank: 2, until: at(100)}, reservedCapacity{rank: 1, until: at(100)}, true},
+		{"the job's own is stricter", reservedCapacity{rank: 2, until: at(100)}, reservedCapacity{rank: 1, until: at(100)}, true},
 		{"the other is stricter", reservedCapacity{rank: 1, until: at(100)}, reservedCapacity{rank: 2, until: at(100)}, false},
-		{"its own has expired", reservedCapacity{rank: 2, until: at(1)}, reservedCapacity{rank: 2, until: at(100)}, false},
-		{"it has none", reservedCapacity{}, reservedCapacity{rank: 2, until: at(100)}, false},
+		{"the job's own has expired", reservedCapacity{rank: 2, until: at(1)}, reservedCapacity{rank: 2, until: at(100)}, false},
+		{"the job has none", reservedCapacity{}, reservedCapacity{rank: 2, until: at(100)}, false},
 		{"warm headroom stays reserved", reservedCapacity{rank: 2, until: at(100)}, reservedCapacity{rank: 2, until: at(100), class: "urgent"}, false},
 	} {
 		b := newBench(t)
@@ -54,7 +56,7 @@
 		b.job("saves", func(j *model.Job) { j.Tasks = 64 })
 		x, m := b.jobs.At("x"), b.machines.At("m")
 		slots := x.Spec.Size.Slots(b.types["big"].Size)
-		for i := range slots - 1 { // capacity for one is free
+		for i := range slots - 1 { // leaves capacity for one task free
 			b.startTask(at(1), b.jobs.At("saves"), i, m, b.nextAttempt())
 		}
 		name := "other"
@@ -62,13 +64,13 @@
 			name = c.other.class
 		}
 		c.own.size, c.other.size = x.Spec.Size, x.Spec.Size
-		c.own.rank, c.other.rank = c.own.rank+x.effectivePriority, c.other.rank+x.effectivePriority // both at least its own
+		c.own.rank, c.other.rank = c.own.rank+x.effectivePriority, c.other.rank+x.effectivePriority // both at least the job's priority
 		if !c.own.until.IsZero() {
 			m.reserve("x", c.own)
 		}
 		m.reserve(name, c.other)
 		if got := x.Spec.Size.Fits(b.free(m, x, at(2))); got != c.free {
-			t.Errorf("%s: there is free capacity: %v", c.name, got)
+			t.Errorf("%s: the job may use the free capacity: %v", c.name, got)
 		}
 	}
 }
--- a/internal/placement/round_capacity_test.go
+++ b/internal/placement/round_capacity_test.go
@@ -9,9 +9,9 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// crowdedBench is a cluster of small machines, a job that takes all but one of the big one's CPUs,
-// and jobs at the head of the queue.
-func crowdedBench(t testing.TB, small int, head func(b bench)) bench {
+// crowdedBench returns a cluster with a number of small machines and a big one, of which a job uses all but one
+// CPU. addHead adds the jobs at the head of the queue.
+func crowdedBench(t testing.TB, small int, addHead func(b bench)) bench {
 	t.Helper()
 	b := newBench(t)
 	b.opt.TasksPerRound = 8
@@ -20,13 +20,14 @@
 	for i := range small {
 		b.machine(fmt.Sprintf("small-%d", i), "small", []string{"a", "b"}[i%2])
 	}
-	head(b)
+	addHead(b)
 	return b
 }
 
-// Whatever is at the head of the queue, a job that some machine has capacity for starts within a few rounds,
-// though something ends in every round.
-func TestQueueHeadDoesNotStarve(t *testing.T) {
+// A job for which some machine has capacity starts within a few rounds, whatever jobs are before it in the queue
+// and although some task ends in every round. It guards against rounds that spend all their tasks on the head of
+// the queue.
+func TestQueueHeadDoesNotBlockOthers(t *testing.T) {
 	many := func(change func(i int, j *model.Job)) func(b bench) {
 		return func(b bench) {
 			for i := range 50 {
@@ -38,20 +39,20 @@
 		}
 	}
 	for _, c := range []struct {
-		name   string
-		head   func(b bench)
-		rounds int
+		name    string
+		addHead func(b bench)
+		rounds  int // within which the job behind the head is to start
 	}{
 		{"services that no machine has capacity for", many(func(i int, j *model.Job) {
 			j.Shape, j.Tasks, j.Size = model.Service, 3, model.Size{CPUs: 6 + float64(i)/100, MemoryGB: 48}
 		}), 1},
-		{"gangs for one of whose tasks there is capacity", many(func(_ int, j *model.Job) {
+		{"gangs of equal size with capacity for one of their tasks", many(func(_ int, j *model.Job) {
 			j.Shape, j.Tasks, j.Size = model.Gang, 9, model.Size{CPUs: 3, MemoryGB: 3}
 		}), 1},
-		{"the same, each of another size", many(func(i int, j *model.Job) {
+		{"such gangs, each of another size, the smallest first", many(func(i int, j *model.Job) {
 			j.Shape, j.Tasks, j.Size = model.Gang, 9, model.Size{CPUs: 3 + float64(i)/100, MemoryGB: 3}
 		}), 1},
-		{"the same, the largest first", many(func(i int, j *model.Job) {
+		{"such gangs, each of another size, the largest first", many(func(i int, j *model.Job) {
 			j.Shape, j.Tasks, j.Size = model.Gang, 9, model.Size{CPUs: 4 - float64(i)/100, MemoryGB: 3}
 		}), fairqueue.Shares{InOrder: 8, ByLastTurn: 2, MaxPerJob: 4}.MaxRounds(51, 9)},
 		{"one array of thousands of tasks", func(b bench) {
@@ -63,21 +64,22 @@
 			j.Team, j.Shape, j.Size = "tight", model.Service, model.Size{CPUs: 5, MemoryGB: 1}
 		}), 1},
 	} {
-		b := crowdedBench(t, 6, c.head)
+		b := crowdedBench(t, 6, c.addHead)
 		b.job("behind", func(j *model.Job) { j.Priority, j.Size = model.Low, model.Size{CPUs: 1, MemoryGB: 1} })
 		for round := 1; b.machineOf("behind", 0) == ""; round++ {
 			if round > c.rounds {
-				t.Errorf("behind %s a job is not started within %d rounds", c.name, c.rounds)
+				t.Errorf("queue head: %s: the job behind it is not started within %d rounds", c.name, c.rounds)
 				break
 			}
-			b.capacityEvents++ // something ended
+			b.capacityEvents++ // as when a task ends
 			b.round(float64(round))
 		}
 	}
 }
 
-// Jobs that find no capacity are known to in every round: they are pending, machines are rented and tasks are
-// preempted for them as if they had been tried. For jobs that a round did not consider nothing is rented.
+// Jobs for which no machine has capacity count as tried in every round, although no samples are requested for
+// them: their empty rounds are counted and machines are demanded for them. For jobs that were not considered
+// for too many rounds no machines are demanded.
 func TestJobsWithoutCapacity(t *testing.T) {
 	b := crowdedBench(t, 0, func(b bench) {
 		b.job("x", func(j *model.Job) { j.Priority, j.Size = model.High, model.Size{CPUs: 4, MemoryGB: 4} })
@@ -87,7 +89,7 @@
 		b.capacityEvents++
 		b.TryComplete()
 		if requests := b.SampleRequests(at(float64(s))); len(requests) > 0 {
-			t.Fatalf("samples are requested: %v", requests)
+			t.Fatalf("samples are requested for jobs without capacity: %v", requests)
 		}
 		b.Place(at(float64(s)), nil)
 	}
@@ -103,11 +105,12 @@
 	b.jobs.At("y").lastTurn, b.roundNumber = 1, maxRoundsUnconsidered+2
 	b.jobs.At("x").lastTurn = b.roundNumber
 	if got := fmt.Sprint(demands()); got != "[x]" {
-		t.Errorf("of jobs that were not considered the demands are %s", got)
+		t.Errorf("demands %s, want only that of the job that was considered", got)
 	}
 }
 
-// A round with a queue of which nearly nothing can be placed, while something ends in each.
+// BenchmarkCrowdedRound measures a round with a queue of which hardly any job can be placed, while a capacity
+// event occurs in every round.
 func BenchmarkCrowdedRound(t *testing.B) {
 	for _, machines := range []int{1000, 16000} {
 		t.Run(fmt.Sprintf("machines=%d/jobs=10000", machines), func(t *testing.B) {
--- a/internal/placement/round_test.go
+++ b/internal/placement/round_test.go
@@ -6,25 +6,26 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// Capacity that is released without an event, in a cluster in which nothing else happens, is found.
+// In a cluster without any other event, a job finds capacity that becomes free without a capacity event. It guards
+// against a job that waits forever beside such capacity.
 func TestRescanWithoutEvent(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		withhold func(m *Machine, on bool)
 	}{
-		{"warm headroom that is released", func(m *Machine, on bool) {
+		{"warm headroom is released", func(m *Machine, on bool) {
 			m.reserved.Delete("class")
 			if on {
 				m.reserve("class", reservedCapacity{size: model.Size{CPUs: 4}, class: "class", rank: 3, until: at(1000)})
 			}
 		}},
-		{"a recall notice that is withdrawn", func(m *Machine, on bool) {
+		{"a recall notice is withdrawn", func(m *Machine, on bool) {
 			m.Notice = -1
 			if on {
 				m.Notice = 5
 			}
 		}},
-		{"orphaned tasks of a machine that are gone", func(m *Machine, on bool) {
+		{"the orphaned tasks of a machine are gone", func(m *Machine, on bool) {
 			m.orphans = 0
 			if on {
 				m.orphans = 1
@@ -37,7 +38,7 @@
 		b.job("x", nil)
 		for s := range 6 {
 			if b.round(float64(s)); b.machineOf("x", 0) != "" {
-				t.Fatalf("%s: it is not withheld", c.name)
+				t.Fatalf("%s: the job started while the capacity was withheld", c.name)
 			}
 		}
 		c.withhold(b.machines.At("m"), false)
@@ -46,13 +47,14 @@
 			b.round(until)
 		}
 		if until > 6+rescanAfter.Seconds()+1 {
-			t.Errorf("%s: the job waits for %v s beside an empty machine", c.name, until-6)
+			t.Errorf("%s: the job waited for %v s beside an empty machine", c.name, until-6)
 		}
 	}
 }
 
-// Capacity that a reservation releases, or that is found without preempting anything, is tried.
-func TestRoomWithoutEvent(t *testing.T) {
+// A job finds the capacity of a reservation that has expired. It guards against a job that waits forever beside
+// such capacity, because the end of a reservation, or a preemption plan without victims, is no event by itself.
+func TestCapacityOfExpiredReservationIsUsed(t *testing.T) {
 	for _, p := range []model.Priority{model.Low, model.High} {
 		b := newBench(t)
 		b.job("other", func(j *model.Job) { j.Tasks, j.Zone, j.Priority = 9, "b", model.Production })
@@ -71,7 +73,7 @@
 			b.UnmetDemands(at(s))
 		}
 		if b.machineOf("x", 0) != "m" {
-			t.Errorf("%s: pending beside free capacity", p)
+			t.Errorf("%s: the job is pending beside free capacity", p)
 		}
 	}
 }
