--- a/internal/placement/free_capacity.go
+++ b/internal/placement/free_capacity.go
@@ -207,10 +207,10 @@
 
 // bestZone returns the zone with most capacity for a job that must stay in one zone.
 func (c *freeCapacity) bestZone(job *Job, pools []model.Pool, tasks int) string {
-	best, most := "", -1
+	best, mostSlots := "", -1
 	for _, pool := range pools {
-		if found := c.countSlots(job, pool.Zone, tasks); found > most {
-			best, most = pool.Zone, found
+		if slots := c.countSlots(job, pool.Zone, tasks); slots > mostSlots {
+			best, mostSlots = pool.Zone, slots
 		}
 	}
 	return best
--- a/internal/placement/gang_moves.go
+++ b/internal/placement/gang_moves.go
@@ -17,7 +17,7 @@
 const (
 	gangStopping      gangStep = iota // the gang is being stopped
 	gangStopUnstarted                 // the gang has not started: it is stopped now
-	gangRunToEnd                      // the drain has no deadline: the gang runs to its end
+	gangRunToEnd                      // no drain of its machines has a deadline: the gang runs to its end
 	gangRunToDeadline                 // the gang runs until the deadline
 	gangStopAndMove                   // the deadline has passed: the gang is stopped now, as a whole
 	gangAwaitCapacity                 // the deadline has passed: the gang runs until there is capacity elsewhere
@@ -97,20 +97,20 @@
 // capacityElsewhere searches for free capacity for all bound tasks of a job on machines that are not drained, as
 // if the tasks had left their present machines.
 func (cs *ClusterState) capacityElsewhere(job *Job, now time.Time) (places []assignment, placeable int) {
-	own := map[*Machine]int{}
+	leaving := map[*Machine]int{}
 	for _, task := range job.bound.All() {
-		own[task.machine]++
+		leaving[task.machine]++
 	}
-	return cs.capacityForTasks(job, job.bound.Len(), own, now)
+	return cs.capacityForTasks(job, job.bound.Len(), leaving, now)
 }
 
-// capacityForTasks searches for free capacity for at most the given number of tasks of a job. own is the number
-// of the job's tasks by machine that are assumed to have left; if it is nil, the job's tasks stay.
+// capacityForTasks searches for free capacity for at most limit tasks of a job. leaving is the number of the job's
+// tasks by machine that are assumed to have left; if it is nil, the job's tasks stay.
 // capacityForTasks returns the places and the number of tasks that they can run. For a job that must stay in one
 // zone, all places are in the zone with capacity for most tasks.
-func (cs *ClusterState) capacityForTasks(job *Job, most int, own map[*Machine]int, now time.Time) (places []assignment, placeable int) {
+func (cs *ClusterState) capacityForTasks(job *Job, limit int, leaving map[*Machine]int, now time.Time) (places []assignment, placeable int) {
 	for _, zone := range cs.zonesFor(job) {
-		if found, placed := cs.capacityInZone(job, zone, most, own, now); placed > placeable {
+		if found, placed := cs.capacityInZone(job, zone, limit, leaving, now); placed > placeable {
 			places, placeable = found, placed
 		}
 	}
@@ -118,24 +118,24 @@
 }
 
 // capacityInZone does the work of capacityForTasks for one zone, or for all zones together if zone is empty.
-func (cs *ClusterState) capacityInZone(job *Job, zone string, most int, own map[*Machine]int, now time.Time) (places []assignment, placed int) {
+func (cs *ClusterState) capacityInZone(job *Job, zone string, limit int, leaving map[*Machine]int, now time.Time) (places []assignment, placed int) {
 	pools := cs.poolsFor(job)
 	tasksInZone := map[string]int{}
-	if own == nil { // otherwise the job's tasks move
+	if leaving == nil { // otherwise the job's tasks move
 		for _, task := range job.bound.All() {
 			tasksInZone[task.machine.Pool.Zone]++
 		}
 	}
 	for _, machine := range cs.machines.All() {
-		if placed == most {
+		if placed == limit {
 			break
 		}
 		otherZone := zone != "" && machine.Pool.Zone != zone
 		if !machine.usable() || !job.allowsMarket(machine.Spot) || !slices.Contains(pools, machine.Pool) || otherZone {
 			continue
 		}
-		free := cs.free(machine, job, now).Add(job.Spec.Size.Times(own[machine]))
-		slots := min(most-placed, job.Spec.Size.Slots(free), job.Spec.ZoneCap()-tasksInZone[machine.Pool.Zone])
+		free := cs.free(machine, job, now).Add(job.Spec.Size.Times(leaving[machine]))
+		slots := min(limit-placed, job.Spec.Size.Slots(free), job.Spec.ZoneCap()-tasksInZone[machine.Pool.Zone])
 		if slots > 0 {
 			places = append(places, assignment{machine, slots})
 			placed += slots
@@ -165,13 +165,13 @@
 		}
 		// The free capacity doesn't include the capacity that the gang itself uses on machines that aren't
 		// drained, so its members there need no other capacity.
-		own := 0
+		staying := 0
 		for _, task := range job.bound.All() {
 			if task.machine.usable() {
-				own++
+				staying++
 			}
 		}
-		if missing := capacity.allocate(job, "", job.bound.Len()-own); missing > 0 {
+		if missing := capacity.allocate(job, "", job.bound.Len()-staying); missing > 0 {
 			demands = append(demands, UnmetDemand{
 				Job:       job.Spec.ID,
 				Size:      job.Spec.Size,
--- a/internal/placement/placement_rule.go
+++ b/internal/placement/placement_rule.go
@@ -52,7 +52,7 @@
 	jobFailedHere        bool
 	replicaLoss          time.Duration // the time that a replica is expected to lose here; 0 for other tasks
 	missesStartObjective bool          // the fetch of the image takes longer than the job's class may wait
-	price                float64       // per hour and CPU; 0 for a job that isn't placed by price
+	price                float64       // per hour and CPU, for a long task that may run on spot machines; 0 for other tasks
 	needsFetch           bool          // the machine doesn't have the image
 	usedShare            float64       // of the machine
 	slots                int           // for tasks of this size on an empty machine of this type
--- a/internal/placement/preemption_plan.go
+++ b/internal/placement/preemption_plan.go
@@ -153,8 +153,8 @@
 			candidate.victims, attainable = append(candidate.victims, victim{Task: task}), attainable.Add(task.job.Spec.Size)
 		}
 	}
-	// Guard: a large cluster has thousands of machines where nothing may be preempted. When they were kept as
-	// candidates for every task of every pending job, they took a quarter of a leader's processor time.
+	// Guard: a large cluster has thousands of machines where nothing may be preempted. When they were weighed
+	// as candidates for every task of every pending job, this took a quarter of a leader's processor time.
 	if !job.Spec.Size.Fits(attainable) {
 		return nil
 	}
--- a/internal/placement/round.go
+++ b/internal/placement/round.go
@@ -74,30 +74,29 @@
 	return n
 }
 
-// pickTasks returns at most the given number of tasks that are neither finished nor bound. Tasks to be retried
-// come first.
-func (j *Job) pickTasks(most int) []int {
+// pickTasks returns at most limit tasks that are neither finished nor bound. Tasks to be retried come first.
+func (j *Job) pickTasks(limit int) []int {
 	var picked []int
 	taken := map[int]bool{}
-	use := func(i int) {
-		if len(picked) < most && !taken[i] && !j.finished.Has(i) && j.bound.At(i) == nil {
+	pick := func(i int) {
+		if len(picked) < limit && !taken[i] && !j.finished.Has(i) && j.bound.At(i) == nil {
 			taken[i] = true
 			picked = append(picked, i)
 		}
 	}
-	keep := j.retryTasks[:0]
+	retry := j.retryTasks[:0]
 	for _, i := range j.retryTasks {
 		if !j.finished.Has(i) && j.bound.At(i) == nil && !taken[i] {
-			keep = append(keep, i)
-			use(i)
+			retry = append(retry, i)
+			pick(i)
 		}
 	}
-	j.retryTasks = keep
+	j.retryTasks = retry
 	for j.nextTask < j.Spec.Tasks && (j.finished.Has(j.nextTask) || j.bound.At(j.nextTask) != nil) {
 		j.nextTask++
 	}
-	for i := j.nextTask; i < j.Spec.Tasks && len(picked) < most; i++ {
-		use(i)
+	for i := j.nextTask; i < j.Spec.Tasks && len(picked) < limit; i++ {
+		pick(i)
 	}
 	return picked
 }
--- a/internal/placement/round_capacity.go
+++ b/internal/placement/round_capacity.go
@@ -23,8 +23,8 @@
 // roundShares returns how many tasks a sampling round tries. The number grows with the cluster: with a fixed
 // number, thousands of machines were empty for a minute beside a queue that had work for all of them.
 func (cs *ClusterState) roundShares() fairqueue.Shares {
-	first := max(cs.opt.TasksPerRound, cs.machines.Len()/16)
-	return fairqueue.Shares{InOrder: first, ByLastTurn: max(1, first/4), MaxPerJob: 4}
+	inOrder := max(cs.opt.TasksPerRound, cs.machines.Len()/16)
+	return fairqueue.Shares{InOrder: inOrder, ByLastTurn: max(1, inOrder/4), MaxPerJob: 4}
 }
 
 // market identifies the spot or the on-demand machines of a pool.
