--- a/internal/placement/job.go
+++ b/internal/placement/job.go
@@ -8,7 +8,7 @@
 
 // Job is a job that is not finished, with everything that the leader knows about it.
 //
-// Invariants: a task index is in finished, in bound, or in neither, in which case it is waiting to be placed.
+// Invariants: a task whose index is neither in finished nor in bound is waiting to be placed.
 // storedFinished is a subset of finished. The job's usage counts exactly its bound tasks.
 type Job struct {
 	// From the job's record.
@@ -21,13 +21,13 @@
 	firstSeen time.Time  // by this leader
 	usage     *teamUsage // of its team
 
-	// Tasks. Those from nextTask on were never tried; retryTasks are to be tried again.
+	// Tasks. Placement has not been attempted yet for tasks from nextTask on; retryTasks are to be placed again.
 	finished   *model.TaskSet
 	bound      *model.Table[int, *Task]
 	nextTask   int
 	retryTasks []int
 
-	// Pools on which the tasks may run; see poolsFor. They were computed at poolsGeneration.
+	// Pools on which the tasks may run, computed at poolsGeneration; see poolsFor.
 	pools           []model.Pool
 	poolsGeneration uint64
 	poolSet         int // number of the set of pools
@@ -41,32 +41,32 @@
 
 // queueState is a job's position in the queue.
 type queueState struct {
-	queueKey          queueKey      // in the queue that was made last
-	queueNumber       uint64        // of the last queue that it was in
+	queueKey          queueKey      // sort key in the last computed queue
+	queueNumber       uint64        // of the last queue that contained the job
 	effectivePriority int           // its own priority, or that of a job which depends on it
-	dueWithin         time.Duration // of Accepted, when it is due; 0: never
-	boosted           bool          // it went to the front when its time to start ran out, while that of many did
+	dueWithin         time.Duration // time from Accepted until the job is due; 0: it has no deadline
+	boosted           bool          // it got a deadline boost while the cluster was pressed; see boostDeadlines
 }
 
-// searchState is what earlier searches for free capacity found for a job, and what is reserved for it.
+// searchState records the outcome of earlier searches for free capacity for a job, and its reservations.
 type searchState struct {
 	triedAtEvent  uint64    // value of capacityEvents at the last search
-	lastTurn      uint64    // last round in which it had a turn, or was known to find no capacity
+	lastTurn      uint64    // last round in which it was considered, or was known to find no capacity
 	lastScan      time.Time // when it last found no capacity
 	unplacedSince time.Time // since when it has had tasks without capacity
 
-	lastPreemptSearch uint64    // last round in which tasks to preempt for it were searched
+	lastPreemptSearch uint64    // last round that searched for tasks to preempt for it
 	preemptedAt       time.Time // when tasks were last preempted for it
-	reservedUntil     time.Time // until when their capacity is reserved
+	reservedUntil     time.Time // until when the capacity of the preempted tasks is reserved for it
 }
 
-// Finished counts the finished tasks.
+// Finished returns the number of finished tasks.
 func (j *Job) Finished() int { return j.finished.Len() }
 
-// Bound counts the job's bound tasks.
+// Bound returns the number of bound tasks.
 func (j *Job) Bound() int { return j.bound.Len() }
 
-// Unplaced counts the tasks that are neither finished nor bound.
+// Unplaced returns the number of tasks that are neither finished nor bound; 0 for a cancelled job.
 func (j *Job) Unplaced() int {
 	if j.Cancelled {
 		return 0
@@ -74,7 +74,7 @@
 	return j.Spec.Tasks - j.finished.Len() - j.bound.Len()
 }
 
-// running counts the tasks that run or checkpoint.
+// running returns the number of tasks that are running or checkpointing.
 func (j *Job) running() int {
 	n := 0
 	for _, task := range j.bound.All() {
--- a/internal/placement/job_records.go
+++ b/internal/placement/job_records.go
@@ -13,9 +13,9 @@
 	Started    bool       `json:"started,omitempty"`
 	Finished   string     `json:"finished,omitempty"`
 	Count      int        `json:"count,omitempty"`
-	Running    int        `json:"running,omitempty"` // as of this write, for display
+	Running    int        `json:"running,omitempty"` // running tasks at the time of the write, for display
 
-	Claim *reservation.Record `json:"claim,omitempty"` // of a gang whose members do not all run; versions before 0.5 ignore it
+	Claim *reservation.Record `json:"claim,omitempty"` // of a gang whose members are not all running; versions before 0.5 ignore it
 }
 
 // Final is the stored form of a job that is finished or cancelled, under done/<id>.
@@ -25,9 +25,9 @@
 	Count int         `json:"count"`
 }
 
-// Prefixes of the keys in the state service. A job that waits for its dependencies has a key under
-// WaitPrefix: versions without dependencies never see it, so they cannot start it too early. OpenPrefix is
-// the common prefix of both kinds of open jobs.
+// Prefixes of the keys in the state service. A job that waits for its dependencies is stored under WaitPrefix:
+// versions that do not support dependencies never read that prefix, so they cannot start the job too early.
+// OpenPrefix is the common prefix of the keys of waiting and of other open jobs.
 const (
 	OpenPrefix = "job"
 	WaitPrefix = "job-waiting/"
@@ -36,8 +36,7 @@
 	PartPrefix = "part/"
 )
 
-// Records returns the records of the open jobs as they would be written now, each with its whole completion
-// bitmap.
+// Records returns the current records of the open jobs, each with its whole completion bitmap.
 func (cs *ClusterState) Records() (out []Record) {
 	for _, job := range cs.jobs.All() {
 		if !job.Cancelled {
--- a/internal/placement/job_writes.go
+++ b/internal/placement/job_writes.go
@@ -11,32 +11,32 @@
 	"github.com/marlwood/marlwood/internal/reservation"
 )
 
-// writeState is what is stored of a job, and when the rest is to be written.
+// writeState tracks which part of a job's state is stored, and when the rest is to be written.
 type writeState struct {
-	dirty          bool           // something is to be written
-	writing        bool           // a write is under way
+	dirty          bool           // some state is not written yet
+	writing        bool           // a write is in flight
 	lastWrite      time.Time      // when the last write was sent
-	writeDue       time.Time      // since when a write is due, its head start included; zero: none is
-	writeHeadStart bool           // the write that is due has had its head start
-	storedFinished *model.TaskSet // the finished tasks that the state service has
+	writeDue       time.Time      // since when a write is due, less its head start; zero: no write is due
+	writeHeadStart bool           // writeDue includes the head start of the final write
+	storedFinished *model.TaskSet // the finished tasks that the state service has stored
 
-	tasksPerPart int  // tasks of the completion bitmap in one part, once the parts are split
-	oversized    bool // the spec leaves no space for a part of the completion bitmap in the job's record
+	tasksPerPart int  // tasks in one split part of the completion bitmap
+	oversized    bool // the job's record has no space for a part of the completion bitmap beside the spec
 }
 
 // JobWrite is a pending write of a job's records. It is encoded in snapshots under the names of its fields.
 type JobWrite struct {
-	Number        uint64 // by which its outcome is reported; no other write of the term has it
-	ID            string
+	Number        uint64            // identifies the write within the term when its outcome is reported
+	ID            string            // of the job
 	Stamp         uint64            // revision of the job's record, which is the write's precondition
-	Over          *Final            // the job is finished: its record is replaced by this
-	Record        *Record           // otherwise the record, if it is to be written
+	Over          *Final            // final record that replaces the record of a finished job; nil: the job is not finished
+	Record        *Record           // record of a job that is not finished; nil: it is not written
 	Parts         map[string]string // parts of the completion bitmap beside the record, by name
 	Claim         int               // version of the gang's claim that the record holds; 0: none
-	finishedTasks *model.TaskSet    // that are stored once the write is done
+	finishedTasks *model.TaskSet    // finished tasks that are stored once the write succeeds
 }
 
-// hasSplitParts reports whether the write has split parts.
+// hasSplitParts reports whether the write contains split parts.
 func (w *JobWrite) hasSplitParts() bool {
 	for name := range w.Parts {
 		return strings.HasPrefix(name, splitPartMarker)
@@ -44,17 +44,17 @@
 	return false
 }
 
-// DisplayOnly reports whether the write only says that an array's first tasks run, which is for display: nothing
-// depends on it.
+// DisplayOnly reports whether the write only records that an array's first tasks are running, which serves only
+// for display.
 func (w *JobWrite) DisplayOnly() bool {
 	return w.Record != nil && w.Record.Count == 0 && w.Record.Claim == nil && len(w.Parts) == 0 && w.Record.Job.Shape == model.Array
 }
 
-// splitPartMarker begins the name of a split part of a completion bitmap; the part's first task follows.
-// Names of other parts are their numbers.
+// splitPartMarker is the prefix of the name of a split part of a completion bitmap; the index of the part's first
+// task follows it. Other parts are named by their numbers.
 const splitPartMarker = "t"
 
-// firstTaskOfPart returns the first task of a part; for an invalid name one beyond all tasks.
+// firstTaskOfPart returns the index of a part's first task; for an invalid name it returns an index beyond all tasks.
 func (cs *ClusterState) firstTaskOfPart(name string) int {
 	from, per := name, cs.opt.PartTasks
 	if rest, split := strings.CutPrefix(name, splitPartMarker); split {
@@ -67,11 +67,11 @@
 	return n * per
 }
 
-// SplitParts has completion bitmaps written in split parts from now on, which fit the tightest
-// limits. The other form is written while some controller can read nothing else.
+// SplitParts switches to writing completion bitmaps in split parts, which fit the tightest limits. The unsplit form
+// is written as long as some controller cannot read split parts.
 //
-// Guard: the state service's limits fall without notice. Records that were
-// stored before are then larger than it takes.
+// Guard: the limits of the state service can become lower without notice. Records that were stored earlier are then
+// larger than it accepts.
 func (cs *ClusterState) SplitParts() {
 	if cs.splitParts {
 		return
@@ -82,8 +82,8 @@
 	}
 }
 
-// splitJobParts counts as stored only what surely is in split parts. What is stored in the other form is written
-// once more; nothing of it is deleted before.
+// splitJobParts marks all finished tasks of a job as not stored, if its completion bitmap needs several split parts.
+// The bitmap is then written again in split parts of the present size; the stored form is not deleted before that.
 func (cs *ClusterState) splitJobParts(job *Job) {
 	if job.Spec.Tasks <= job.tasksPerPart || job.Cancelled {
 		return
@@ -93,20 +93,21 @@
 }
 
 const (
-	// maxWritesInFlight is how many writes are under way at a time: as many as a client of the state service
-	// has connections.
+	// maxWritesInFlight is the most writes that are in flight at a time: the number of connections of a client of
+	// the state service.
 	maxWritesInFlight = 12
 
-	// finalWriteHeadStart is how much earlier a job's final write counts as due.
+	// finalWriteHeadStart is how much earlier than it is a job's final write counts as due.
 	finalWriteHeadStart = 5 * time.Second
 )
 
-// DueWrites returns the writes that are due, at most one at a time for each job and not more often than every pause
-// unless the job is finished. A transaction takes at most maxParts parts beside a record.
+// DueWrites starts and returns the writes that are due: at most one at a time for each job. Unless a job is finished
+// or its claim is pending, at least pause passes between its writes. A transaction holds at most maxParts parts
+// beside a record.
 //
-// Guard: where more is due than the state service takes, what was due first goes first, and what
-// failed keeps its place. Sent all at once, writes got through in random order: with small
-// jobs coming four a second some were reported finished four minutes after others that had ended later.
+// Guard: when more writes are due than the state service accepts, those that have been due for longest are sent
+// first, and a failed write keeps its place. When all were sent at once, they were stored in random order: with small
+// jobs arriving four a second, some were reported finished four minutes after others that had ended later.
 func (cs *ClusterState) DueWrites(now time.Time, pause time.Duration, maxParts int) []*JobWrite {
 	if cs.maxPartsAccepted > 0 {
 		maxParts = min(maxParts, cs.maxPartsAccepted)
@@ -121,7 +122,7 @@
 			due = append(due, job)
 		}
 	}
-	cs.dueWrites = due // its space is used again
+	cs.dueWrites = due // reuses the buffer
 	slices.SortStableFunc(due, compareDueWrites)
 	var writes []*JobWrite
 	for _, job := range due[:min(len(due), max(free, 0))] {
@@ -138,7 +139,7 @@
 	return j.allTasksFinished() || j.claimPending() || now.Sub(j.lastWrite) >= pause
 }
 
-// setWriteDue sets since when a job's write is due. The final one gets a head start.
+// setWriteDue records since when a job's write is due. The final write gets a head start.
 func (j *Job) setWriteDue(now time.Time) {
 	if j.writeDue.IsZero() {
 		j.writeDue = now
@@ -148,8 +149,8 @@
 	}
 }
 
-// compareDueWrites orders jobs by which is to be written first: those with a pending claim, then those of which
-// more than the display depends on the write, then by how long the write has been due.
+// compareDueWrites orders jobs by the priority of their writes: first those with a pending claim, then those whose
+// writes do not only serve for display, then by how long the write has been due.
 func compareDueWrites(x, y *Job) int {
 	return cmp.Or(
 		cmp.Compare(trueFirst(x.claimPending()), trueFirst(y.claimPending())),
@@ -158,7 +159,7 @@
 	)
 }
 
-// startWrite makes the write of a job's records.
+// startWrite marks a job's records as being written, and returns the write.
 func (cs *ClusterState) startWrite(job *Job, now time.Time, maxParts int) *JobWrite {
 	job.writing, job.lastWrite, job.dirty = true, now, false
 	cs.writeCount++
@@ -171,17 +172,18 @@
 	return write
 }
 
-// claimPending reports whether a gang's members wait for its claim to be stored: it is written before everything
-// else.
+// claimPending reports whether a gang's members wait for its claim to be stored. Such writes have the highest
+// priority.
 func (j *Job) claimPending() bool { return j.claim.Active() && j.claim.State == reservation.Requested }
 
-// displayOnly reports whether a write of the job only says that an array's first tasks run: it is written after
-// everything else.
+// displayOnly reports whether a write of the job only records that an array's first tasks are running. Such writes
+// have the lowest priority.
 func (j *Job) displayOnly() bool {
 	return j.Spec.Shape == model.Array && j.finished.Len() == 0 && !j.claim.Active()
 }
 
-// partLayout returns how many tasks one part of a job's completion bitmap has, and the name of a part by its number.
+// partLayout returns the number of tasks in one part of a job's completion bitmap, and a function that names a part
+// by its number.
 func (cs *ClusterState) partLayout(job *Job) (tasksPerPart int, name func(part int) string) {
 	if !cs.splitParts {
 		return cs.opt.PartTasks, strconv.Itoa
@@ -189,12 +191,13 @@
 	return job.tasksPerPart, func(part int) string { return splitPartMarker + strconv.Itoa(part*job.tasksPerPart) }
 }
 
-// fillWrite puts into a write what is due of a job: parts of its completion bitmap, once they were halved the last
-// one first, and then its record with the first part.
+// fillWrite adds to a write the parts of a job's completion bitmap that are not stored, and its record, which holds
+// the first part. After the size of the parts was halved, the last part is added first. The record is added only
+// when all parts fit into the write.
 //
-// Guard: a record or a part that was written larger shrinks here. It is written only after
-// all that it loses is in the parts behind it; a leader that failed in between left finished tasks
-// that were in neither.
+// Guard: a record or a part that was stored with more tasks shrinks when it is written again. It is written only
+// after the later parts hold all tasks that it loses. Without this order, a leader that failed in between left
+// finished tasks that were in neither.
 func (cs *ClusterState) fillWrite(write *JobWrite, job *Job, maxParts int) {
 	tasksPerPart, partName := cs.partLayout(job)
 	write.Parts, write.finishedTasks = map[string]string{}, model.NewTaskSet(job.Spec.Tasks)
@@ -214,7 +217,7 @@
 			continue
 		}
 		if len(write.Parts) >= maxParts {
-			job.dirty = true // the rest goes with the next write
+			job.dirty = true // the next write contains the rest
 			return
 		}
 		write.Parts[partName(part)] = job.finished.Encode(from, to)
@@ -238,8 +241,8 @@
 	}
 }
 
-// WriteDone records the outcome of a write. Only an answered success counts; a
-// failed write is retried with the revision that the job then has.
+// WriteDone records the outcome of a write. ok is true only if a response confirmed the success; a failed write is
+// retried with the revision that the job has by then.
 func (cs *ClusterState) WriteDone(write *JobWrite, ok bool, revision uint64) {
 	job := cs.jobs.At(write.ID)
 	if job == nil {
@@ -260,8 +263,9 @@
 	}
 	storedTo := job.Spec.Tasks
 	if cs.splitParts && !write.hasSplitParts() {
-		// Guard: a record of the earlier form, under way when bitmaps began to be split, holds
-		// more than the next one will. Counted as stored, what the next one leaves out was stored nowhere.
+		// Guard: a record in the unsplit form that was in flight when bitmaps began to be split holds more tasks than
+		// the next record. When all of its tasks counted as stored, those that the next record omits were stored
+		// nowhere.
 		storedTo = min(job.tasksPerPart, storedTo)
 	}
 	job.storedFinished.Union(write.finishedTasks, 0, storedTo)
@@ -269,11 +273,11 @@
 	cs.claimStored(job, write.Claim)
 }
 
-// minTasksPerPart is the fewest tasks of a part; all parts have a multiple of it.
+// minTasksPerPart is the fewest tasks that a part may be reduced to; the size of every part is a multiple of it.
 const minTasksPerPart = 64
 
-// WriteTooLarge records that the state service rejected a write as too large. It is retried
-// with fewer or smaller parts.
+// WriteTooLarge records that the state service rejected a write as too large. The write is retried with fewer or
+// smaller parts, or without the gang's claim.
 func (cs *ClusterState) WriteTooLarge(write *JobWrite) {
 	job := cs.jobs.At(write.ID)
 	if job == nil {
@@ -296,8 +300,8 @@
 	}
 	smaller := max(minTasksPerPart, job.tasksPerPart/2/minTasksPerPart*minTasksPerPart)
 	if smaller == job.tasksPerPart && (job.oversized || write.Record == nil) {
-		// Guard: with several such parts due, one was written again for ever. A job whose last
-		// task finished meanwhile ends without them.
+		// Guard: a write that cannot be made smaller is not repeated. With several such parts due, one was written again
+		// for ever. A job whose last task has finished meanwhile still gets its final write, without these parts.
 		job.dirty = write.Over == nil && job.allTasksFinished()
 		cs.opt.Log.Error("completion bitmap cannot be stored", "job", write.ID, "parts", len(write.Parts))
 		return
@@ -305,8 +309,8 @@
 	halved := smaller < job.tasksPerPart
 	job.tasksPerPart, job.oversized, job.dirty = smaller, job.oversized || write.Record != nil, true
 	if halved {
-		// Guard: a part is written again under the name of a larger one. What that one held
-		// at its end counted as stored, and was stored nowhere.
+		// Guard: a halved part has the same name as the larger part that it overwrites. Without marking all tasks as not
+		// stored, the tasks at the end of the larger part counted as stored and were stored nowhere.
 		cs.splitJobParts(job)
 	}
 }
--- a/internal/placement/jobs.go
+++ b/internal/placement/jobs.go
@@ -9,11 +9,11 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// errWrongJob is the error of a record that describes another job than its key says.
-var errWrongJob = errors.New("wrong job")
+// errWrongJob is returned for a record whose job is missing or has an ID that differs from the record's key.
+var errWrongJob = errors.New("job in the record is missing or does not match its key")
 
 // PutJob adds a job from its record as stored at a revision. parts are the parts of its completion bitmap that
-// are stored beside the record, by name. For a job that is known already only the revision is updated.
+// are stored beside the record, by name. If the job is known already, only its revision is updated.
 func (cs *ClusterState) PutJob(now time.Time, id string, value json.RawMessage, revision uint64, parts map[string]string) error {
 	if job := cs.jobs.At(id); job != nil {
 		job.Revision = max(job.Revision, revision)
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// newJob makes a job from its record, with none of its tasks finished.
+// newJob returns a job made from its record, with none of its tasks marked as finished.
 func (cs *ClusterState) newJob(record *Record, revision uint64, now time.Time) *Job {
 	spec := record.Job
 	return &Job{
@@ -60,7 +60,7 @@
 	}
 }
 
-// mergeFinished adds the stored completion bitmap to a job: what its record holds, and the parts beside it.
+// mergeFinished adds the stored completion bitmap to a job: the part in its record, and the parts beside the record.
 func (cs *ClusterState) mergeFinished(job *Job, finished string, parts map[string]string) error {
 	for _, set := range []*model.TaskSet{job.finished, job.storedFinished} {
 		if err := set.Merge(0, finished); err != nil {
@@ -75,8 +75,8 @@
 	return nil
 }
 
-// restoreClaim restores a gang's claim from the job's record, unless the gang has started. A gang whose
-// claim can't be restored is placed like any other.
+// restoreClaim restores a gang's claim from the job's record, unless the gang has started. A gang whose claim cannot
+// be restored is placed like any other gang.
 func (cs *ClusterState) restoreClaim(job *Job, record *Record, now time.Time) {
 	if record.Claim == nil || record.Started {
 		return
@@ -96,9 +96,9 @@
 		"deadline", spec.Deadline, "spot", spec.Spot, "gb", spec.ImageGB, "aim", cs.opt.Aims[spec.Class])
 }
 
-// Cancel records that a job's open record was deleted: its tasks are stopped at once, and none is started any
-// more. The record is also deleted when the job finishes, and the watch may report that before the write's
-// response arrives.
+// Cancel records that a job's open record was deleted: its tasks are stopped immediately, and no more are started.
+// The record is also deleted when the job finishes, and the watch may report that before the response to the final
+// write arrives.
 func (cs *ClusterState) Cancel(id string) {
 	if job := cs.jobs.At(id); job != nil && !job.Cancelled {
 		cs.endJob(job)
@@ -112,8 +112,8 @@
 	}
 }
 
-// endJob ends a job: tasks that still run are stopped, and machines may forget its exited tasks, for
-// nothing depends on their reports any more. The job is deleted once no task is bound.
+// endJob ends a job: tasks that are still running are stopped, and machines may forget its exited tasks, because
+// their reports are no longer needed. The job is deleted once none of its tasks is bound.
 func (cs *ClusterState) endJob(job *Job) {
 	job.Cancelled = true
 	cs.releaseClaim(job, job.firstSeen)
@@ -130,13 +130,13 @@
 	cs.forgetExitedTasks(job.Spec.ID)
 }
 
-// JobCounts are the counts of a job's tasks, for display.
+// JobCounts holds the numbers of a job's finished and running tasks, for display.
 type JobCounts struct {
 	Done    int
 	Running int
 }
 
-// JobCounts returns the counts of the open jobs by job.
+// JobCounts returns the task counts of the open jobs, by job ID.
 func (cs *ClusterState) JobCounts() map[string]JobCounts {
 	out := make(map[string]JobCounts, cs.jobs.Len())
 	for id, job := range cs.jobs.All() {
--- a/internal/placement/silent_pools_test.go
+++ b/internal/placement/silent_pools_test.go
@@ -16,7 +16,7 @@
 // the owner before the last. It was half of its pool, so the other machine of the pool was kept away from the new
 // owner until that one counted as unreachable too, and so on: the pool changed owners every 3 to 4 s for ever
 // (simtest, seed 21147004189: "vm-005 phase=unseen since=3.09s" in the millisecond of the fresh token at 42.996 s).
-func TestSilenceStartsAnewWithTheOwner(t *testing.T) {
+func TestSilenceRestartsWithNewOwner(t *testing.T) {
 	late := 3 * time.Second
 	b := newBench(t)
 	b.machine("m0", "small", "a")
--- a/internal/placement/tasks.go
+++ b/internal/placement/tasks.go
@@ -8,20 +8,20 @@
 	"github.com/marlwood/marlwood/internal/peers/peerspb"
 )
 
-// taskKey names a task.
+// taskKey identifies a task.
 type taskKey struct {
 	job   string
 	index int
 }
 
-// newTasks makes an empty table of tasks, in the order of jobs and indices.
+// newTasks returns an empty table of tasks, ordered by job and index.
 func newTasks() *model.Table[taskKey, *Task] {
 	return model.NewTableBy[taskKey, *Task](func(x, y taskKey) int {
 		return cmp.Or(cmp.Compare(x.job, y.job), cmp.Compare(x.index, y.index))
 	})
 }
 
-// Task is a task bound to a machine: its start is ordered, it is there, or it may be there.
+// Task is a task that is bound to a machine: it is held by a claim, its start is ordered, or it runs or may run there.
 type Task struct {
 	job     *Job
 	index   int
@@ -33,19 +33,19 @@
 	stateSince     time.Time
 	accountedUntil time.Time // until when its usage is counted
 
-	// The order to start it. A gang member whose claim is not stored yet, or whose machine can't take it yet,
-	// is held by the claim: its start was not ordered.
+	// The order to start the task. The start of a gang member is not ordered while it is held by the gang's claim,
+	// that is, until the claim is stored and its machine can take it.
 	orderToken  uint64 // fencing token of the order
 	orderID     uint64
 	heldByClaim bool
 
-	// The order to stop it.
+	// The order to stop the task.
 	stopping  bool
-	grace     time.Duration // to checkpoint
-	stopToken uint64        // fencing token under which the stop was ordered last
+	grace     time.Duration // time to checkpoint
+	stopToken uint64        // fencing token under which the stop was last ordered
 }
 
-// setState is the one place where a bound task's state changes.
+// setState sets a bound task's state. No other function changes it.
 func (t *Task) setState(state model.TaskState, now time.Time) {
 	if t.state != state {
 		t.machine.log.Debug("task", "task", model.TaskName(t.job.Spec.ID, t.index), "machine", t.machine.Name,
@@ -54,7 +54,7 @@
 	}
 }
 
-// bind binds a task to its machine, and counts it for its machine and its team.
+// bind binds a task to its machine, and adds its size to the machine's load and its team's usage.
 func (cs *ClusterState) bind(task *Task) {
 	cs.bindCount++
 	task.boundAt, task.accountedUntil = task.stateSince, task.stateSince
@@ -72,12 +72,12 @@
 	machine.load = machine.load.Sub(t.job.Spec.Size)
 	t.job.usage.remove(t.job.Spec.Size)
 	if machine.tasks.Len() == 0 {
-		machine.load = model.Size{} // rounding must not add up
+		machine.load = model.Size{} // discards accumulated rounding errors
 	}
 }
 
-// release unbinds a task, and lets its job retry it unless it is finished. A cancelled job is deleted with its
-// last bound task.
+// release unbinds a task, and queues it for a retry unless it is finished. A cancelled job is deleted when its last
+// bound task is released.
 func (cs *ClusterState) release(task *Task, now time.Time) {
 	machine, job := task.machine, task.job
 	cs.skipSilentTime(task, now)
@@ -97,7 +97,7 @@
 	}
 }
 
-// updateTask applies a bound task's reported state, and stops the task if it is not wanted any more.
+// updateTask applies a bound task's reported state, and stops the task if it is no longer wanted.
 func (cs *ClusterState) updateTask(now time.Time, task *Task, state model.TaskState) {
 	job := task.job
 	cs.countUsage(task, now)
@@ -116,8 +116,9 @@
 		task.stopping, task.grace, task.stopToken = true, 0, 0
 	}
 	if state == model.TaskSaving && !task.stopping {
-		// Guard: an earlier leader stopped it. Taken for one that has not started, it was stopped
-		// by a drain without the time to checkpoint that it had been given.
+		// Guard: a task that checkpoints without a stop of ours was stopped by an earlier leader. Without this, the
+		// leader treated it as a task that has not started, and a drain stopped it without the time to checkpoint that
+		// it had been given.
 		task.stopping, task.grace, task.stopToken = true, graceFor(job.Spec), cs.token
 	}
 	if task.stopping && task.stopToken != cs.token {
@@ -125,7 +126,7 @@
 	}
 }
 
-// startRetryWait is how long a job waits after a start that its machine did not execute.
+// startRetryWait is how long a job waits after a machine did not execute the start of one of its tasks.
 const startRetryWait = time.Second
 
 // taskExited applies a bound task's reported exit, and releases the task.
@@ -152,7 +153,7 @@
 	cs.sendForgetIfStored(machine, job, reported)
 }
 
-// markFinished records that a task is finished; the members of a gang finish together.
+// markFinished records that a task is finished. For a gang it marks all members as finished.
 func (cs *ClusterState) markFinished(job *Job, index int) {
 	if job.Spec.Shape == model.Gang {
 		for i := range job.Spec.Tasks {
@@ -167,7 +168,7 @@
 	}
 }
 
-// stopTask stops a bound task; of a gang, all of its tasks.
+// stopTask stops a bound task. For a gang it stops all bound members.
 func (cs *ClusterState) stopTask(task *Task, grace time.Duration) {
 	if task.job.Spec.Shape == model.Gang {
 		for _, member := range task.job.bound.All() {
@@ -178,11 +179,11 @@
 	cs.stopMember(task, grace)
 }
 
-// stopMember stops one bound task. A stop that leaves no less time to checkpoint than the one before, under the
-// same token, is not repeated.
+// stopMember stops one bound task. It sends no second stop under the same token unless that leaves the task less time
+// to checkpoint than the first one.
 func (cs *ClusterState) stopMember(task *Task, grace time.Duration) {
 	if task.heldByClaim {
-		cs.releaseClaim(task.job, task.stateSince) // its start was not ordered yet
+		cs.releaseClaim(task.job, task.stateSince) // the task's start is not ordered yet
 		return
 	}
 	if task.stopping && task.grace <= grace && task.stopToken == cs.token {
