--- a/internal/placement/cordon.go
+++ b/internal/placement/cordon.go
@@ -12,26 +12,27 @@
 	}
 }
 
-// Quarantine keeps new tasks off a machine on which some failed: until it is scaled in, or no other machine
-// has capacity for a job.
+// Quarantine keeps new tasks off a machine on which tasks failed, until the machine is scaled in, or uncordoned for a
+// job for which no other machine has capacity.
 func (cs *ClusterState) Quarantine(machine *Machine) {
 	machine.quarantined = true
 	cs.Cordon(machine)
 }
 
-// setScaleIn makes a machine a scale-in candidate, which gets no new tasks, or ends that.
-func (cs *ClusterState) setScaleIn(machine *Machine, on bool) {
-	if machine.ScaleIn == on {
+// setScaleIn sets whether a machine is a scale-in candidate, which gets no new tasks.
+func (cs *ClusterState) setScaleIn(machine *Machine, candidate bool) {
+	if machine.ScaleIn == candidate {
 		return
 	}
-	machine.ScaleIn = on
+	machine.ScaleIn = candidate
 	if machine.Cordoned || machine.drain != nil {
 		return
 	}
 	cs.sendCordonState(machine)
 }
 
-// sendCordonState tells a machine's owner whether it may be sampled for new tasks.
+// sendCordonState orders a machine's owner to cordon or uncordon the machine. A cordoned machine is not sampled for
+// new tasks.
 func (cs *ClusterState) sendCordonState(machine *Machine) {
 	if machine.Cordoned || machine.ScaleIn || machine.drain != nil {
 		cs.sendOrder(machine, &peerspb.Order{Op: peerspb.Op_OP_CORDON})
@@ -41,7 +42,7 @@
 	cs.capacityEvents++
 }
 
-// resendCordon repeats to a machine's owner that it gets no tasks: a fresh token voided the earlier order.
+// resendCordon repeats the order that cordons a machine, because a fresh token invalidated the earlier one.
 func (cs *ClusterState) resendCordon(machine *Machine) {
 	if machine.Cordoned || machine.drain != nil {
 		cs.sendOrder(machine, &peerspb.Order{Op: peerspb.Op_OP_CORDON})
--- a/internal/placement/exited_tasks.go
+++ b/internal/placement/exited_tasks.go
@@ -5,12 +5,12 @@
 	"github.com/marlwood/marlwood/internal/peers/peerspb"
 )
 
-// replaceReport replaces a machine's last report, and updates the index of the machines that report exited tasks
-// of a job.
+// replaceReport replaces a machine's last report, and updates the index that maps each job to the machines that report
+// exited tasks of it.
 //
-// Guard: a job's exited tasks are looked for by this index. When every write of a completion bitmap walked over
-// all machines, a cluster sixteen times as large paid sixteen times as much for each of sixteen times as many
-// writes.
+// Guard: a job's exited tasks are found by this index. When every write of a completion bitmap went through all
+// machines, each write cost sixteen times as much in a cluster sixteen times as large, which also has sixteen times as
+// many writes.
 func (cs *ClusterState) replaceReport(machine *Machine, tasks []*peerspb.Task) {
 	for _, reported := range machine.reported {
 		if model.TaskState(reported.State) == model.TaskExited {
@@ -32,7 +32,8 @@
 	}
 }
 
-// forgetExitedTasks lets machines forget a job's exited tasks after a write of its completion bitmap.
+// forgetExitedTasks lets machines forget those of a job's exited tasks whose reports are no longer needed after a write
+// of its completion bitmap.
 func (cs *ClusterState) forgetExitedTasks(jobID string) {
 	job := cs.jobs.At(jobID)
 	for _, machine := range cs.exitedTasks[jobID].All() {
--- a/internal/placement/failure_attribution.go
+++ b/internal/placement/failure_attribution.go
@@ -7,46 +7,45 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// retryState is a job's history of failures.
+// retryState is a job's failure history.
 type retryState struct {
-	retryAt     time.Time       // no task is started before
-	failures    int             // since a task was last finished; tasks that failed together count once
+	retryAt     time.Time       // no task is started before this time
+	failures    int             // since the history was last cleared; tasks that failed together count once
 	failedOn    map[string]bool // machines on which its tasks failed
-	emptyRounds int             // rounds in a row in which it found no capacity
+	emptyRounds int             // consecutive rounds in which it found no capacity
 }
 
-// clearFailureHistory forgets the failures of a job that was seen to succeed.
+// clearFailureHistory clears the failures of a job after one of its tasks finished or ran for long enough.
 func (r *retryState) clearFailureHistory() { r.failures, r.failedOn = 0, nil }
 
 // failureRecord counts the failures of one job's tasks on one machine, as evidence against the machine.
 type failureRecord struct {
 	failures int
-	waves    int // failures of tasks that were bound after the wave before
-	last     time.Time
+	waves    int       // groups of failures: the failure of a task that was bound after last starts a new one
+	last     time.Time // when the last wave started
 }
 
-// poisonMachineThreshold is on how many machines a job fails before the failures are attributed to the job, as long
-// as none of its tasks ever finished.
+// poisonMachineThreshold is the number of machines on which a job fails before the failures are attributed to the job.
+// It applies as long as none of its tasks has finished.
 const poisonMachineThreshold = 2
 
-// proven reports whether a job can succeed: a task of it has finished.
+// proven reports whether a job is known to be able to succeed, because one of its tasks has finished.
 func (j *Job) proven() bool { return j.finished.Len() > 0 }
 
-// SuspectedPoison reports whether a job was probably submitted with a mistake: it failed on
-// several machines and was never seen to succeed. It is retried with one task at a
-// time, after growing pauses, and nothing is preempted, reserved or launched for it.
+// SuspectedPoison reports whether a job was probably submitted with a mistake: it failed on several machines, and none
+// of its tasks has finished. It is retried with one task at a time, after growing pauses, and nothing is preempted,
+// reserved or launched for it.
 //
-// Guard: such jobs stay until their users cancel them. One with high priority
-// preempted others every few seconds, and an array of some hundred
-// tasks failed as a whole each time.
+// Guard: such jobs stay until their users cancel them. Without these limits, a job with high priority preempted others
+// every few seconds, and all tasks of an array of some hundred failed each time.
 func (j *Job) SuspectedPoison() bool { return !j.proven() && len(j.failedOn) >= poisonMachineThreshold }
 
-// clearSuspicion forgets a job's failures once one of its tasks has run for as long as a quarantined machine is
-// held back. Whether the job can succeed is proven only when a task finishes.
+// clearSuspicion clears a job's failure history once one of its tasks has run for uncordonAfter, the time for which a
+// quarantined machine is withheld. The job still counts as proven only when a task finishes.
 //
-// Guard: no task of a service ever finishes. One whose replicas had been on two faulty machines counted as
-// submitted with a mistake for good: while any replica ran none was started beside it. An array of
-// long tasks was held back until its first one finished.
+// Guard: no task of a service ever finishes. A service whose replicas had failed on two faulty machines was suspected
+// permanently: while one replica ran, no other was started. An array of long tasks was held back until its first task
+// finished.
 func (j *Job) clearSuspicion(now time.Time) {
 	if len(j.failedOn) == 0 {
 		return
@@ -59,7 +58,7 @@
 	}
 }
 
-// The pause after a failure. It doubles with each failure of a job that is not proven.
+// Limits of the pause after a failure. The pause doubles with each failure of a job that is not proven.
 const (
 	minRetryPause     = time.Second
 	maxRetryPause     = time.Minute
@@ -82,7 +81,7 @@
 		record.waves, record.last = record.waves+1, now
 	}
 	machine.failures[job.Spec.ID] = record
-	// Tasks that were started together fail together: that is one failure.
+	// Tasks that were started together often fail together, which counts as one failure.
 	if now.Before(job.retryAt) {
 		return
 	}
@@ -94,7 +93,7 @@
 	job.retryAt = now.Add(pause)
 }
 
-// clearFailures removes from the machines the failures of a job that ends before any of its tasks finished.
+// clearFailures removes a job's failures from the machines' records, if the job ends before any of its tasks finished.
 func (cs *ClusterState) clearFailures(job *Job) {
 	if job.proven() {
 		return
@@ -106,8 +105,8 @@
 	}
 }
 
-// FaultyMachines lists the current machines with at least that many failures attributed to them: every failure of
-// a proven job counts, and each wave of failures of another job that is not suspected itself.
+// FaultyMachines returns the current, uncordoned machines to which at least threshold failures are attributed. Every
+// failure of a proven or ended job counts, and each wave of failures of another job that is not itself suspected.
 func (cs *ClusterState) FaultyMachines(threshold int) (faulty []*Machine) {
 	for _, machine := range cs.machines.All() {
 		if cs.attributedFailures(machine) >= threshold && machine.Phase == Current && !machine.Cordoned {
@@ -118,7 +117,7 @@
 	return faulty
 }
 
-// attributedFailures counts the failures that are attributed to a machine.
+// attributedFailures returns the number of failures that are attributed to a machine.
 func (cs *ClusterState) attributedFailures(machine *Machine) int {
 	n := 0
 	for id, record := range machine.failures {
--- a/internal/placement/jobs.go
+++ b/internal/placement/jobs.go
@@ -91,7 +91,7 @@
 
 func (cs *ClusterState) logJob(job *Job) {
 	spec := job.Spec
-	cs.opt.Log.Debug("job", "job", spec.ID, "class", spec.Class, "team", spec.Team, "shape", spec.Shape, "priority", spec.Priority,
+	cs.opt.Log.Debug("job added", "job", spec.ID, "class", spec.Class, "team", spec.Team, "shape", spec.Shape, "priority", spec.Priority,
 		"tasks", spec.Tasks, "cpus", spec.Size.CPUs, "estimate", spec.Estimate, "checkpoint", spec.CheckpointEvery,
 		"deadline", spec.Deadline, "spot", spec.Spot, "gb", spec.ImageGB, "aim", cs.opt.Aims[spec.Class])
 }
--- a/internal/placement/machine.go
+++ b/internal/placement/machine.go
@@ -8,24 +8,24 @@
 	"github.com/marlwood/marlwood/internal/peers/peerspb"
 )
 
-// MachinePhase is what the leader knows of a machine's lease and tasks.
+// MachinePhase represents what the leader knows about a machine's lease and tasks.
 type MachinePhase int
 
 // The phases of a machine.
 const (
-	Unseen         MachinePhase = iota // it has a record, and no heartbeat has been reported under our token
+	Unseen         MachinePhase = iota // no heartbeat of the machine has been reported under our token
 	Joining                            // a heartbeat was reported; its list of tasks may be incomplete
 	Current                            // all of its tasks are known
-	ExpiryReported                     // its owner reports that its lease expired; not confirmed yet
-	Expired                            // its lease expired: it has no tasks
+	ExpiryReported                     // its owner reported that its lease expired; not confirmed yet
+	Expired                            // its lease expired, so it has no tasks
 )
 
-// String returns the name of the phase as operators see it.
+// String returns the name of the phase that is shown to operators.
 func (p MachinePhase) String() string {
 	return [...]string{"unseen", "joining", "current", "lapsed", "expired"}[p]
 }
 
-// Machine is a machine as the leader knows it.
+// Machine is the leader's view of a machine.
 //
 // Invariants: load is the sum of the sizes of its bound tasks. It is in the cluster state's unreconciled
 // machines if and only if isReconciled is false.
@@ -40,58 +40,58 @@
 
 	recordState
 
-	// Why it gets no new tasks. Of several drains that cover it, drain is what they say together.
-	Cordoned    bool      // for good
+	// Reasons why it gets no new tasks. If several drains cover the machine, drain combines them.
+	Cordoned    bool      // permanently, except for a quarantine
 	ScaleIn     bool      // a scale-in candidate, until its capacity is needed again
-	quarantined bool      // cordoned since tasks failed on it; see Quarantine
+	quarantined bool      // cordoned because tasks failed on it; see Quarantine
 	reopenedAt  time.Time // when it was last uncordoned; see uncordonForStarvedJobs
 	drain       *Drain    // nil: no drain covers it
 
-	// The termination notice of a spot machine: how long after NoticeAt it is terminated.
+	// The termination notice of a spot machine: the time from NoticeAt until it is terminated.
 	Notice   time.Duration // -1: none
 	NoticeAt time.Time
 
-	// What its owner reports.
-	MissedHeartbeats    bool // no heartbeat for longer than they are apart
-	Unreachable         bool // what the owner sends does not reach it
+	// Its owner's reports.
+	MissedHeartbeats    bool // no heartbeat for longer than the heartbeat interval
+	Unreachable         bool // the owner's messages do not reach it
 	StartOutcomeUnknown bool // a start that is no longer wanted may still be executed
 
 	FirstSeen    time.Time // by this leader
 	IdleSince    time.Time // since when it has had no tasks
 	FirstExpired time.Time // when its lease first expired since it was last current
 	Listed       bool      // the provider has listed it
-	EverUsed     bool      // a task was ever reported on it, or may have been before this leader's term
+	EverUsed     bool      // a task was reported on it, or may have been before this leader's term
 
 	misdirectedHeartbeats
 
-	// Its last report, under our token or before.
+	// Its last complete report, under our token or an earlier one.
 	session      uint64 // the agent's epoch
-	seq          uint64 // number of the heartbeat
+	seq          uint64 // sequence number of the heartbeat
 	currentToken uint64 // token under which it was last current
 	reported     []*peerspb.Task
-	orphans      int // running tasks that are not wanted on it
+	orphans      int // number of running tasks that are not wanted on it
 
-	// Its tasks, and what else takes or holds its capacity.
+	// Its tasks, and other uses of its capacity.
 	tasks         *model.Table[taskKey, *Task]
 	load          model.Size
 	images        []cachedImage // the most recently used one last
 	reserved      *model.Table[string, reservedCapacity]
 	heldForGangAt time.Time // when it was last found to be held for a gang; see HeldForGang
 
-	failures map[string]failureRecord // by job: its tasks that failed here since any task finished here
+	failures map[string]failureRecord // by job: failures of its tasks here since a task last finished here
 	log      *slog.Logger
 }
 
-// Busy reports whether anything is bound to the machine, or reported on it and not reconciled.
+// Busy reports whether any task is bound to the machine or was in its last report, exited or orphaned tasks included.
 func (m *Machine) Busy() bool { return m.tasks.Len() > 0 || m.orphans > 0 || len(m.reported) > 0 }
 
-// isReconciled reports whether a machine is as a quiet cluster's machines are: current, with its record
-// stored, heartbeats in time, and nothing on it that is unknown or unwanted.
+// isReconciled reports whether a machine is current, has a stored record, sends its heartbeats in time, has no start
+// of unknown outcome, and runs no orphaned tasks.
 func (m *Machine) isReconciled() bool {
 	return m.Phase == Current && m.Recorded && !m.MissedHeartbeats && !m.StartOutcomeUnknown && m.orphans == 0
 }
 
-// AddMachine adds a machine from its stored record: tasks may run on it. A known machine is left as it is.
+// AddMachine adds a machine from its stored record. Tasks may be running on it. A known machine is left unchanged.
 func (cs *ClusterState) AddMachine(record MachineRecord, now time.Time) {
 	if cs.machines.At(record.Name) != nil {
 		return
@@ -113,7 +113,7 @@
 	})
 }
 
-// addMachine adds a machine that was not known.
+// addMachine adds a machine that is not known yet.
 func (cs *ClusterState) addMachine(machine *Machine) {
 	cs.machines.Put(machine.Name, machine)
 	cs.machinesInPool[machine.Pool]++
@@ -130,11 +130,11 @@
 	}
 }
 
-// updateUnreconciled adds a machine to the unreconciled ones, or removes it. Whatever changes the result of
-// isReconciled calls it.
+// updateUnreconciled adds a machine to the unreconciled ones, or removes it. Every change that affects the result of
+// isReconciled must be followed by a call.
 //
-// Guard: what a leader looks for on every tick and in every round used to be looked for on
-// all machines. At some thousands of them that alone took a large part of its CPU time.
+// Guard: the searches of every tick and every round used to go through all machines. With some thousands of machines
+// they alone took a large part of the leader's CPU time.
 func (cs *ClusterState) updateUnreconciled(machine *Machine) {
 	if machine.isReconciled() {
 		delete(cs.unreconciled, machine.Name)
@@ -143,7 +143,7 @@
 	}
 }
 
-// setPhase is the one place where a machine's phase changes.
+// setPhase sets a known machine's phase. No other function changes it.
 func (cs *ClusterState) setPhase(machine *Machine, phase MachinePhase, now time.Time) {
 	if machine.Phase == phase {
 		return
@@ -172,7 +172,7 @@
 	cs.terminated[name] = now
 }
 
-// releaseAll releases all tasks of a machine, and forgets what it reported.
+// releaseAll releases all tasks of a machine, and clears its last report.
 func (cs *ClusterState) releaseAll(machine *Machine, now time.Time) {
 	for _, task := range machine.tasks.All() {
 		cs.release(task, now)
--- a/internal/placement/machine_expiry.go
+++ b/internal/placement/machine_expiry.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// ReportUnseenExpired records that the leases of the machines of a member's pools which it has not
-// reported have surely expired, whoever extended them last.
+// ReportUnseenExpired records that the leases of all machines that are still unseen in a member's pools have certainly
+// expired, whichever controller extended them last.
 func (cs *ClusterState) ReportUnseenExpired(member string, now time.Time) {
 	for _, machine := range cs.unreconciled {
 		if machine.Phase == Unseen && cs.owners[machine.Pool] == member {
@@ -15,13 +15,12 @@
 	}
 }
 
-// ConfirmExpiries confirms the expiries that were reported before checked, the moment when the last read
-// that showed the leader key as ours was sent. It releases the machines' tasks and returns their names.
+// ConfirmExpiries confirms the expiries that were reported before checked, which is the time when the last read that
+// returned the leader key as ours was sent. It releases the tasks of the machines and returns the machines' names.
 //
-// Guard: a leader that was deposed without knowing it may still act, and to
-// its owners a machine that moved to the next leader looks like one whose
-// lease expired, while its tasks go on. Only a read of the key that is younger
-// than the expiry shows that nobody else can have extended the lease.
+// Guard: a leader that was deposed without knowing it may still act. To the owners under it, a machine that moved to
+// an owner under the next leader looks like one whose lease expired, while its tasks keep running. Only a read of the
+// key that was sent after the expiry was reported shows that no other controller can have extended the lease.
 func (cs *ClusterState) ConfirmExpiries(checked, now time.Time) (names []string) {
 	for name, machine := range cs.unreconciled {
 		if machine.Phase == ExpiryReported && machine.PhaseSince.Before(checked) {
@@ -32,23 +31,24 @@
 	for _, name := range names {
 		machine := cs.machines.At(name)
 		cs.releaseAll(machine, now)
-		machine.Recorded = false // its record is deleted; it gets another before its next start
+		machine.Recorded = false // its record is to be deleted; a new one is stored before tasks are started on it again
 		cs.setPhase(machine, Expired, now)
 	}
 	return names
 }
 
-// MissingMachines lists the machines that the provider no longer lists and from which no heartbeat arrived since
-// heardBy. The list lags, so this is no proof that they were terminated; terminating them is.
+// MissingMachines returns the names of the machines that the provider listed before and no longer lists, and from
+// which no heartbeat has arrived since noHeartbeatSince. The provider's list lags, so this does not prove that they
+// were terminated; terminating them makes sure.
 //
-// Guard: an owner that knew a machine before reports it as joining. Waited for until it had missed its
-// heartbeats, a machine that was terminated meanwhile held up the takeover.
-func (cs *ClusterState) MissingMachines(listed map[string]bool, heardBy time.Time) []string {
+// Guard: an owner that knew a machine before reports it as joining. When such a machine counted as missing only after
+// it had missed its heartbeats, one that had been terminated meanwhile delayed the takeover.
+func (cs *ClusterState) MissingMachines(listed map[string]bool, noHeartbeatSince time.Time) []string {
 	var missing []string
 	for name, machine := range cs.machines.All() {
 		if listed[name] {
 			machine.Listed = true
-		} else if machine.Listed && machine.silentSince(heardBy) {
+		} else if machine.Listed && machine.silentSince(noHeartbeatSince) {
 			missing = append(missing, name)
 		}
 	}
--- a/internal/placement/machine_records.go
+++ b/internal/placement/machine_records.go
@@ -15,19 +15,18 @@
 	Revision uint64
 }
 
-// recordState is what is known of a machine's stored record.
+// recordState represents what is known about a machine's stored record.
 type recordState struct {
 	Recorded       bool   // the record is stored, and tasks may be started on the machine
-	Revision       uint64 // of the record; 0: none is known
+	Revision       uint64 // of the record; 0: no record is known
 	deletingRecord bool   // the deletion of the record with this revision was requested
 }
 
 // MachineRecorded records that a machine's record was stored at a revision.
 //
-// Guard: the record of a machine that expired while it was written is the next to
-// be deleted. Were the machine counted as recorded all the same, it could come back
-// and get tasks while the deletion is under way, and the next leader would not wait
-// for it.
+// Guard: if a machine expired while its record was being written, the record is about to be deleted. If the machine
+// counted as recorded nevertheless, it could come back and get tasks while the deletion is in flight, and the next
+// leader would not wait for it.
 func (cs *ClusterState) MachineRecorded(name string, revision uint64) {
 	if machine := cs.machines.At(name); machine != nil {
 		machine.Recorded, machine.Revision, machine.deletingRecord = machine.Phase != Expired, revision, false
@@ -36,13 +35,13 @@
 	}
 }
 
-// ExpiredMachineRecords returns at most that many machines whose leases expired and whose records are to be
-// deleted, with the records' revisions. Each is returned once.
+// ExpiredMachineRecords returns the names of at most that many machines whose leases expired and whose records are to
+// be deleted, with the records' revisions. Each record is returned once.
 //
-// Guard: the next leader waits for every machine with a record. Without this, it
-// waited once more, for as long as any earlier leader may act and a lease longer,
-// for machines that this one knows to be without tasks. The deletion must have the
-// revision as its precondition: a machine may be back and have a fresh record when it is executed.
+// Guard: the next leader waits for every machine with a record. Without the deletion, it waited again for machines that
+// this leader knows to have no tasks: for as long as any earlier leader may act, plus the duration of a lease. The
+// deletion must have the revision as its precondition, because the machine may be back and have a fresh record by the
+// time the deletion is executed.
 func (cs *ClusterState) ExpiredMachineRecords(most int) map[string]uint64 {
 	var names []string
 	for name, machine := range cs.unreconciled {
@@ -60,7 +59,7 @@
 	return records
 }
 
-// MachineRecordDeleted records that a machine's record with a revision was deleted.
+// MachineRecordDeleted records that the machine record with the given revision was deleted.
 func (cs *ClusterState) MachineRecordDeleted(name string, revision uint64) {
 	if machine := cs.machines.At(name); machine != nil && machine.Revision == revision {
 		machine.Revision = 0
--- a/internal/placement/machine_reservations.go
+++ b/internal/placement/machine_reservations.go
@@ -9,8 +9,8 @@
 // reservedCapacity is capacity of a machine that is reserved for one job, or for a class as warm headroom.
 type reservedCapacity struct {
 	size  model.Size
-	class string // of the headroom; empty: it is reserved for a job
-	rank  int    // only jobs of a higher priority may take it
+	class string // of the headroom; empty: the capacity is reserved for a job
+	rank  int    // only jobs of a higher priority may take the capacity
 	until time.Time
 }
 
@@ -22,10 +22,12 @@
 	m.reserved.Put(name, reservation)
 }
 
-// consumeReservation subtracts the task of a job that starts from the capacity that was reserved for the job.
+// consumeReservation subtracts the size of one task, which is being started, from the capacity that is reserved for
+// its job.
 //
-// Guard: a reservation that stayed whole beside the task that had started counted its capacity twice. Two jobs
-// held the rest of a machine back from each other, and it stood idle (simtest, seed 2300004744: idle_room).
+// Guard: when a reservation kept its whole size after a task had started, the task's capacity was counted twice. Two
+// jobs' reservations then kept the rest of a machine from each other, and it stayed idle (simtest, seed 2300004744:
+// idle_room).
 func (m *Machine) consumeReservation(job *Job) {
 	reservation := m.reserved.At(job.Spec.ID)
 	if reservation.until.IsZero() || reservation.class != "" {
--- a/internal/placement/machine_status.go
+++ b/internal/placement/machine_status.go
@@ -8,16 +8,16 @@
 	"github.com/marlwood/marlwood/internal/peers/peerspb"
 )
 
-// The phases of a machine as its owner reports them. They are values of the wire.
+// Machine phases as owners report them. The values are part of the wire protocol.
 const (
 	reportedJoining = "joining"
 	reportedCurrent = "current"
 	reportedExpired = "expired"
 )
 
-// UpdateMachine applies what a member reports about a machine. An expiry is trusted even for a machine
-// that was not current under our token yet if trusted is set. applied is the last order that the member
-// has applied. A report counts only if the member owns the machine's pool.
+// UpdateMachine applies a member's report about a machine. If trusted is set, an expiry is accepted even for a machine
+// that was not current under our token yet. applied is the ID of the last order that the member has applied. A report
+// is ignored unless the member owns the machine's pool.
 func (cs *ClusterState) UpdateMachine(now time.Time, member string, status *peerspb.Machine, applied uint64, trusted bool) {
 	machine := cs.reportedMachine(now, member, status)
 	if machine == nil {
@@ -25,7 +25,7 @@
 	}
 	defer cs.updateUnreconciled(machine)
 	if machine.MissedHeartbeats && !status.Quiet || machine.Unreachable && !status.Unreached {
-		cs.capacityEvents++ // it may be used again
+		cs.capacityEvents++ // the machine may be used again
 	}
 	machine.MissedHeartbeats, machine.Unreachable, machine.StartOutcomeUnknown = status.Quiet, status.Unreached, status.Unsure
 	switch status.Phase {
@@ -38,8 +38,8 @@
 	}
 }
 
-// reportedMachine returns the machine that a member reports about, and adds it if it is new. It returns nil
-// if the report is to be ignored.
+// reportedMachine returns the machine that a report is about, and adds it if it is new. It returns nil if the report
+// is to be ignored.
 func (cs *ClusterState) reportedMachine(now time.Time, member string, status *peerspb.Machine) *Machine {
 	if _, terminated := cs.terminated[status.Name]; terminated {
 		return nil
@@ -49,8 +49,8 @@
 	if machine != nil {
 		pool = machine.Pool
 	}
-	// Guard: only the pool's present owner speaks for a machine. A machine that moved on to another
-	// controller looks expired to its earlier owner, which gets no heartbeats from it any more.
+	// Guard: only reports of the pool's current owner are accepted. A machine that moved to another controller looks
+	// expired to its earlier owner, which no longer gets its heartbeats.
 	if cs.owners[pool] != member {
 		return nil
 	}
@@ -79,18 +79,18 @@
 	cs.setPhase(machine, Joining, now)
 }
 
-// machineExpiryReported handles the report that a machine's lease has expired. The expiry takes effect in
+// machineExpiryReported handles a report that a machine's lease has expired. The expiry takes effect in
 // ConfirmExpiries.
 func (cs *ClusterState) machineExpiryReported(now time.Time, machine *Machine, trusted bool) {
 	if machine.Phase == Expired {
-		return // reported again: it has no tasks
+		return // the expiry was confirmed already, and the machine has no tasks
 	}
 	if trusted || machine.currentToken == cs.token {
 		cs.setPhase(machine, ExpiryReported, now)
 		return
 	}
-	// Guard: the owner reports this only once. The machine counts as unseen again until an expiry can be
-	// trusted; were it left joining, a takeover would never end.
+	// Guard: the owner reports an expiry only once. The machine counts as unseen again until an expiry can be trusted.
+	// If it stayed joining, a takeover would never end.
 	cs.setPhase(machine, Unseen, now)
 }
 
@@ -104,8 +104,9 @@
 		cs.resendCordon(machine)
 	}
 	if machine.Phase != Current {
-		// Guard: an owner that calls a machine expired before it has shown our token drops its
-		// orders, and it may live on all the same. Stops that were ordered meanwhile did not arrive.
+		// Guard: an owner that reports a machine as expired before the machine has shown our token discards its orders,
+		// although the machine may still be alive. Stops that were ordered in the meantime did not arrive, so they are
+		// sent again.
 		for _, task := range machine.tasks.All() {
 			task.stopToken = 0
 		}
@@ -114,7 +115,8 @@
 	cs.reconcile(now, machine, func(order uint64) bool { return order <= applied && !slices.Contains(status.Undecided, order) })
 }
 
-// setNotice records the termination notice of a spot machine in milliseconds; below zero there is none.
+// setNotice records the termination notice of a spot machine, in milliseconds until its termination. A negative value
+// means that there is no notice.
 func (m *Machine) setNotice(noticeMs int64, now time.Time) {
 	if m.Notice < 0 && noticeMs >= 0 {
 		m.NoticeAt = now
@@ -125,8 +127,8 @@
 	}
 }
 
-// stopUnwanted stops tasks that a machine reports before its list is complete and whose job is
-// cancelled, finished or unknown: the owner answers the machine's heartbeat with these stops.
+// stopUnwanted stops tasks whose job is cancelled, finished or unknown, and which a machine reports before its list of
+// tasks is complete. The owner sends these stops in its response to the machine's heartbeat.
 func (cs *ClusterState) stopUnwanted(machine *Machine, tasks []*peerspb.Task) {
 	for _, reported := range tasks {
 		job := cs.jobs.At(reported.Job)
@@ -137,11 +139,11 @@
 	}
 }
 
-// CancelledTasks lists the cancelled jobs of which a task is, or may be, on a machine of a member's pools, and
-// reports whether orphaned tasks run there.
+// CancelledTasks returns the cancelled jobs that have a task bound to a machine of a member's pools, and reports
+// whether orphaned tasks run on these machines.
 //
-// Guard: an owner that restarted no longer has the stops that its earlier process received, and
-// gets no orders before a fresh token. Under a delegated lease it would keep such tasks alive until then.
+// Guard: an owner that restarted no longer has the stops that its earlier process received, and gets no orders until
+// there is a fresh token. Until then it would keep such tasks alive under a delegated lease.
 func (cs *ClusterState) CancelledTasks(member string) (jobs []string, hasOrphans bool) {
 	for _, machine := range cs.unreconciled {
 		hasOrphans = hasOrphans || machine.orphans > 0 && cs.owners[machine.Pool] == member
@@ -160,8 +162,8 @@
 	return jobs, hasOrphans
 }
 
-// orphanedTasks counts running tasks that belong to no open job. While there are
-// any, nothing starts: their team and size are not known.
+// orphanedTasks returns the number of running tasks that are not wanted on their machines. While there are any, no
+// task is started, because the team and size of a task without an open job are not known.
 func (cs *ClusterState) orphanedTasks() int {
 	n := 0
 	for _, m := range cs.unreconciled {
--- a/internal/placement/reachability.go
+++ b/internal/placement/reachability.go
@@ -7,16 +7,16 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// misdirectedHeartbeats is what a machine's heartbeats to controllers that don't own its pool show.
+// misdirectedHeartbeats represents what a machine's heartbeats to controllers that do not own its pool show.
 type misdirectedHeartbeats struct {
-	misdirectedAt     time.Time // the last one
-	misdirectedTo     string    // the controller that got it
-	cyclesControllers bool      // it tries one controller after the other, as a machine does that gets no responses
-	followsRedirects  bool      // the last ones show that it goes where responses redirect it
+	misdirectedAt     time.Time // when the last one was sent
+	misdirectedTo     string    // the controller that received the last one
+	cyclesControllers bool      // it tries one controller after the other, like a machine that gets no responses
+	followsRedirects  bool      // the last ones show that it follows redirects in responses
 }
 
-// recordMisdirected records a heartbeat to a controller. It reports whether the machine now counts as cycling
-// through the controllers.
+// recordMisdirected records a heartbeat to a controller that does not own the machine's pool. It reports whether the
+// heartbeat shows that the machine cycles through the controllers.
 func (h *misdirectedHeartbeats) recordMisdirected(member string, now time.Time) (cycling bool) {
 	gap := now.Sub(h.misdirectedAt)
 	sameController := member == h.misdirectedTo
@@ -29,10 +29,11 @@
 	return cycling
 }
 
-// A machine that gets no responses comes to the next controller this long after the last, give
-// or take what a heartbeat takes to be reported; a longer gap says nothing. One that is redirected to an owner
-// which it cannot reach is back at the same controller after four seconds there and one more; when
-// its agent epoch ends it reports to the same again at once, whether it gets responses or not.
+// Gaps between two misdirected heartbeats of a machine. A machine that gets no responses sends its next heartbeat to
+// another controller after minCycleGap to maxCycleGap, which allows for the time until a heartbeat is reported; a longer
+// gap shows nothing. A machine that is redirected to an owner which it cannot reach waits four seconds for the owner and
+// one more, and then returns to the same controller, after minReturnGap to maxReturnGap. When its agent epoch ends, a
+// machine reports to the same controller again immediately, whether it gets responses or not.
 const (
 	minCycleGap  = 3500 * time.Millisecond
 	maxCycleGap  = 12 * time.Second
@@ -40,15 +41,15 @@
 	maxReturnGap = 8 * time.Second
 )
 
-// misdirectedWindow is how long a misdirected heartbeat counts.
+// misdirectedWindow is how long a misdirected heartbeat counts as evidence.
 const misdirectedWindow = 4 * time.Second
 
 // MisdirectedHeartbeat records that a machine sent a heartbeat to a controller that does not own its pool.
 //
-// Guard: an agent waits four seconds for a response, and goes on to the next controller a second
-// later. One that no response reaches comes to each in turn: its owner, too, gets its heartbeat only now and
-// then, and was taken for an owner that gets none, over and over, whichever controller was the next owner.
-// An agent that gets a response comes back to the same controller, or follows the redirect at once.
+// Guard: an agent waits four seconds for a response, and tries the next controller a second later. An agent that gets
+// no responses tries all controllers in turn, so its owner also gets its heartbeat only now and then. That owner
+// counted as one that gets no heartbeats, again and again, whichever controller became the next owner. An agent that
+// gets a response returns to the same controller, or follows the redirect immediately.
 func (cs *ClusterState) MisdirectedHeartbeat(name, member string, now time.Time) {
 	machine := cs.machines.At(name)
 	if machine == nil || cs.owners[machine.Pool] == member {
@@ -59,8 +60,8 @@
 	}
 }
 
-// expireMisdirected forgets the machines that have sent no misdirected heartbeat for so long that they stay
-// with their owner again.
+// expireMisdirected stops counting machines as cycling through the controllers once they have sent no misdirected
+// heartbeat for longer than maxCycleGap.
 func (cs *ClusterState) expireMisdirected(now time.Time) {
 	for name, machine := range cs.misdirected {
 		if now.Sub(machine.misdirectedAt) > maxCycleGap {
@@ -73,14 +74,14 @@
 	}
 }
 
-// silentSince reports whether a machine's owner has got no heartbeat of it since a time.
+// silentSince reports whether a machine's owner has received no heartbeat from it since a time.
 func (m *Machine) silentSince(since time.Time) bool {
 	return m.MissedHeartbeats || m.Phase == ExpiryReported || m.Phase == Expired ||
 		(m.Phase == Unseen || m.Phase == Joining) && m.PhaseSince.Before(since)
 }
 
-// SilentPools reports, for each pool with a silent machine, whether its owner has got no heartbeat for longer
-// than late from at least half of the machines that may be alive.
+// SilentPools reports, for each pool with a silent machine, whether its owner has received no heartbeat for longer than
+// late from at least half of the pool's machines that may be alive.
 func (cs *ClusterState) SilentPools(now time.Time, late time.Duration) map[model.Pool]bool {
 	silent, ended := map[model.Pool]int{}, map[model.Pool]int{}
 	for _, machine := range cs.unreconciled {
@@ -98,20 +99,20 @@
 	return out
 }
 
-// hasEnded tells that a machine's lease has expired, as far as its owner knows, and that it reports to no other
-// controller either: it is no sign against its owner.
+// hasEnded reports whether a machine's lease has expired according to its owner, and the machine sends no heartbeats to
+// other controllers either. Such a machine is no evidence against its owner.
 func (m *Machine) hasEnded(now time.Time) bool {
 	return (m.Phase == ExpiryReported || m.Phase == Expired) && now.Sub(m.misdirectedAt) >= misdirectedWindow
 }
 
-// UnreachablePools lists the pools of which the owner has got no heartbeats for longer than late from a third
-// of the machines, while these report to other controllers: they work, and cannot reach it.
+// UnreachablePools returns the pools whose owner has received no heartbeats for longer than late from at least a third
+// of the machines, while these machines send heartbeats to other controllers: they are alive but cannot reach the owner.
 func (cs *ClusterState) UnreachablePools(now time.Time, late time.Duration) (out []model.Pool) {
 	misdirected := map[model.Pool]int{}
 	for _, machine := range cs.unreconciled {
-		// Guard: a machine that gets no responses does not show a fresh token, whoever owns it.
-		// Without this its pool went from one owner to the next, each under another token,
-		// and no lease had ever surely expired under a token that young (simtest, seed 210000006).
+		// Guard: a machine that gets no responses does not show a fresh token, whichever controller owns its pool. Without
+		// this condition, its pool went from one owner to the next, each time under another token, and under a token that
+		// young no lease can be known to have expired (simtest, seed 210000006).
 		reachable := machine.currentToken == cs.token || machine.followsRedirects
 		if machine.silentSince(now.Add(-late)) && !machine.cyclesControllers && reachable && now.Sub(machine.misdirectedAt) < misdirectedWindow {
 			misdirected[machine.Pool]++
--- a/internal/placement/reconcile.go
+++ b/internal/placement/reconcile.go
@@ -15,12 +15,12 @@
 	orphans int // running tasks that are not wanted on this machine
 }
 
-// confirmedTasks are the bound tasks that a report shows. It is passed on rather than kept in the
-// reconciliation, so that it need not be allocated for each report.
+// confirmedTasks is the set of bound tasks that a report contains. It is passed as an argument rather than kept in the
+// reconciliation, so that it does not have to be allocated for each report.
 type confirmedTasks map[taskKey]bool
 
-// reconcile makes the bound tasks of a machine agree with its last report, which is complete. decided
-// reports whether the outcome of an order was known when the report was made.
+// reconcile updates the bound tasks of a machine to match its last report, which is complete. decided reports whether
+// the outcome of an order was known when the report was made.
 func (cs *ClusterState) reconcile(now time.Time, machine *Machine, decided func(order uint64) bool) {
 	r := &reconciliation{cs: cs, now: now, machine: machine}
 	confirmed := make(confirmedTasks, len(machine.reported))
@@ -53,7 +53,7 @@
 		confirmed[key] = true
 		r.adopt(key.index, job, reported.Attempt, state)
 	default:
-		// A second copy, or one of a finished task: it only takes capacity.
+		// A second copy of a bound task, or a copy of a finished one: it only uses up capacity.
 		r.orphan(reported)
 	}
 }
@@ -82,10 +82,10 @@
 	}
 }
 
-// unboundExit handles the exit of a task that is not bound to this machine, or not in this attempt.
+// unboundExit handles the exit of a task that is not bound to this machine, or is bound to it in another attempt.
 func (r *reconciliation) unboundExit(job *Job, reported *peerspb.Task) {
 	if job.claim != nil && job.claim.Attempt == reported.Attempt {
-		r.cs.releaseClaim(job, r.now) // of an attempt that an earlier leader started
+		r.cs.releaseClaim(job, r.now) // the claim of an attempt that an earlier leader started
 	}
 	if model.Cause(reported.Cause) == model.CauseDone {
 		r.cs.markFinished(job, int(reported.Index))
@@ -109,7 +109,7 @@
 	r.cs.updateTask(r.now, task, state)
 }
 
-// releaseUnconfirmed releases the bound tasks that the report doesn't show.
+// releaseUnconfirmed releases the bound tasks that the report does not contain.
 func (r *reconciliation) releaseUnconfirmed(confirmed confirmedTasks, decided func(order uint64) bool) {
 	for key, task := range r.machine.tasks.All() {
 		if confirmed[key] {
--- a/internal/placement/tasks.go
+++ b/internal/placement/tasks.go
@@ -48,7 +48,7 @@
 // setState sets a bound task's state. No other function changes it.
 func (t *Task) setState(state model.TaskState, now time.Time) {
 	if t.state != state {
-		t.machine.log.Debug("task", "task", model.TaskName(t.job.Spec.ID, t.index), "machine", t.machine.Name,
+		t.machine.log.Debug("task state changed", "task", model.TaskName(t.job.Spec.ID, t.index), "machine", t.machine.Name,
 			"from", t.state, "to", state, "after", now.Sub(t.stateSince))
 		t.state, t.stateSince = state, now
 	}
--- a/internal/placement/uncordon.go
+++ b/internal/placement/uncordon.go
@@ -8,23 +8,25 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// uncordonAfter is how long a job must have found no capacity until machines that scale in or are quarantined
-// are uncordoned for it, and how long these are then kept from scaling in.
+// uncordonAfter is how long a job must have found no capacity before machines that scale in or are quarantined are
+// uncordoned for it, and how long these machines are then protected from scale-in.
 const uncordonAfter = 45 * time.Second
 
-// maxUncordonJobs is for how many jobs at once withheld machines are searched: each of ten thousand jobs is
-// considered within forty seconds.
+// maxUncordonJobs is the most jobs for which withheld machines are searched at a time. With this limit each of ten
+// thousand jobs is considered within forty seconds.
 const maxUncordonJobs = 256
 
-// uncordonForStarvedJobs uncordons machines that get no tasks by our own choice for jobs that have found no
-// capacity for too long, the cheapest first: for a gang all that it takes, in one zone if it must stay in one.
+// uncordonForStarvedJobs uncordons withheld machines, the cheapest first, for jobs that have found no capacity for too
+// long. For a gang it uncordons all machines that the gang needs, in one zone if the gang must stay in one zone.
 //
-// Guard: a job without unmet demand had no machine uncordoned either, however long it waited beside them: a job
-// for which only spot machines are requested beside on-demand ones, and a job that failed on two machines. A
-// quarantined machine that ran a replica was cordoned for as long as that ran.
+// Guard: no machine was uncordoned for a job without unmet demand, however long the job waited beside withheld
+// machines. Two kinds of jobs have no unmet demand: a job for which only spot machines are requested, when the withheld
+// machines are on-demand ones, and a job that failed on two machines. A quarantined machine that ran a replica stayed
+// cordoned for as long as the replica ran.
 //
-// Guard: thousands of jobs may be pending beside thousands of machines. Only some of the jobs, in round-robin
-// order, search the withheld machines; gangs, which need to know the free capacity besides, are fewer still.
+// Guard: thousands of jobs may be pending in a cluster of thousands of machines. Only some of the jobs, in round-robin
+// order, search the withheld machines at a time. The limit on gangs is lower, because a gang's search also needs
+// the free capacity of the usable machines.
 func (cs *ClusterState) uncordonForStarvedJobs(now time.Time) {
 	withheld := cs.withheldMachines()
 	if len(withheld) == 0 || !cs.anyJobStarved(now) {
@@ -49,7 +51,7 @@
 	}
 }
 
-// uncordonFor uncordons the machines that a job needs, in the first zone that has them.
+// uncordonFor uncordons the machines that a job needs, in the first of its zones that has such machines.
 func (cs *ClusterState) uncordonFor(job *Job, tasks int, withheld []*Machine, now time.Time) {
 	for _, zone := range cs.zonesFor(job) {
 		machines := cs.machinesToUncordon(job, tasks, zone, withheld, now)
@@ -62,12 +64,12 @@
 	}
 }
 
-// isStarved tells that a job has found no capacity for too long.
+// isStarved reports whether a job has found no capacity for too long.
 func (j *Job) isStarved(now time.Time) bool {
 	return !j.unplacedSince.IsZero() && now.Sub(j.unplacedSince) >= uncordonAfter
 }
 
-// anyJobStarved tells whether a pending job has found no capacity for too long.
+// anyJobStarved reports whether any pending job has found no capacity for too long.
 func (cs *ClusterState) anyJobStarved(now time.Time) bool {
 	for _, job := range cs.jobs.All() {
 		if job.isStarved(now) && job.isPending(now) {
@@ -77,7 +79,7 @@
 	return false
 }
 
-// withheldMachines lists the machines that get no tasks by nothing but our own choice.
+// withheldMachines returns the machines that may be uncordoned; see mayUncordon.
 func (cs *ClusterState) withheldMachines() []*Machine {
 	var withheld []*Machine
 	for _, machine := range cs.machines.All() {
@@ -88,7 +90,7 @@
 	return withheld
 }
 
-// compareForUncordon orders machines that aren't quarantined first, then the cheapest.
+// compareForUncordon orders machines that are not quarantined before quarantined ones, and then by price.
 func (cs *ClusterState) compareForUncordon(x, y *Machine) int {
 	return cmp.Or(
 		cmp.Compare(trueFirst(!x.quarantined), trueFirst(!y.quarantined)),
@@ -96,8 +98,8 @@
 	)
 }
 
-// machinesToUncordon lists the withheld machines that a number of a job's tasks need: none for a gang that finds
-// too little capacity even with the usable machines.
+// machinesToUncordon returns the withheld machines that are needed for a number of a job's tasks. For a gang it returns
+// none if they have too little capacity even together with the usable machines.
 func (cs *ClusterState) machinesToUncordon(job *Job, tasks int, zone string, withheld []*Machine, now time.Time) []*Machine {
 	pools := cs.poolsFor(job)
 	slotsOn := func(machine *Machine) int {
@@ -128,8 +130,8 @@
 	return machines
 }
 
-// mayUncordon tells whether nothing but our own choice keeps tasks off a machine: it scales in, or is
-// quarantined and runs tasks. A quarantined one without tasks is returned.
+// mayUncordon reports whether a machine would be usable if it were uncordoned: only its being a scale-in candidate, or
+// quarantined and busy, keeps tasks off it. A quarantined machine that is not busy is returned to the provider instead.
 func (m *Machine) mayUncordon() bool {
 	releasable := m.quarantined && m.Busy()
 	uncordoned := *m
