--- a/internal/placement/reachability.go
+++ b/internal/placement/reachability.go
@@ -123,8 +123,8 @@
 			out = append(out, pool)
 		}
 	}
-	sort.Slice(out, func(i, pool int) bool {
-		return out[i].Zone < out[pool].Zone || (out[i].Zone == out[pool].Zone && out[i].Type < out[pool].Type)
+	sort.Slice(out, func(i, k int) bool {
+		return out[i].Zone < out[k].Zone || (out[i].Zone == out[k].Zone && out[i].Type < out[k].Type)
 	})
 	return out
 }
