--- a/internal/placement/bench_test.go
+++ b/internal/placement/bench_test.go
@@ -11,9 +11,10 @@
 
 var t0 = time.Unix(1000, 0)
 
+// at returns the time s seconds after the start of a test.
 func at(s float64) time.Time { return t0.Add(time.Duration(s * float64(time.Second))) }
 
-// bench is a cluster state over two types in two zones, all owned by n0.
+// bench is a cluster state for tests with two machine types in two zones, whose pools are all owned by member n0.
 type bench struct {
 	testing.TB
 	*ClusterState
@@ -36,20 +37,21 @@
 	return bench{t, b}
 }
 
+// machine reports a new machine as current with some tasks, and records that its record is stored.
 func (b bench) machine(name, typ, zone string, tasks ...*peerspb.Task) {
 	b.UpdateMachine(at(0), "n0", &peerspb.Machine{Name: name, Kind: &peerspb.Kind{Type: typ, Zone: zone}, Phase: "current",
 		NoticeMs: -1, Tasks: tasks}, 0, false)
 	b.MachineRecorded(name, 3)
 }
 
-// report is a later report of a machine whose owner has applied and decided the
-// orders up to one.
+// report applies a later report of a machine, whose owner has applied and decided all orders up to decided.
 func (b bench) report(s float64, name, phase string, decided uint64, tasks ...*peerspb.Task) {
 	m := b.machines.At(name)
 	b.UpdateMachine(at(s), "n0", &peerspb.Machine{Name: name, Kind: &peerspb.Kind{Type: m.Pool.Type, Zone: m.Pool.Zone}, Phase: phase,
 		NoticeMs: -1, Tasks: tasks}, decided, false)
 }
 
+// job adds a small job with one task; change may modify its spec.
 func (b bench) job(id string, change func(j *model.Job)) {
 	j := &model.Job{ID: id, Team: "free", Shape: model.Array, Priority: model.Normal, Tasks: 1,
 		Size: model.Size{CPUs: 2, MemoryGB: 2}, Image: "i"}
@@ -65,7 +67,7 @@
 	}
 }
 
-// round plays a round in which every machine that has free capacity is sampled.
+// round runs a round in which every machine of a requested pool is sampled, and returns the number of placed tasks.
 func (b bench) round(s float64) int {
 	b.TryComplete()
 	var samples []*peerspb.Sample
@@ -90,6 +92,7 @@
 	return b.Place(at(s), samples)
 }
 
+// machineOf returns the name of the machine to which a task is bound; empty if it is not bound.
 func (b bench) machineOf(id string, index int) string {
 	if t := b.jobs.At(id).bound.At(index); t != nil {
 		return t.machine.Name
@@ -97,6 +100,7 @@
 	return ""
 }
 
+// orders returns the number of pending orders of a kind for n0.
 func (b bench) orders(op peerspb.Op) int {
 	n := 0
 	for _, o := range b.Orders("n0") {
--- a/internal/placement/failure_attribution_test.go
+++ b/internal/placement/failure_attribution_test.go
@@ -8,9 +8,10 @@
 	"github.com/marlwood/marlwood/internal/peers/peerspb"
 )
 
-// A machine that fails tasks is distinguished from a job that fails everywhere: the one
-// is given up, the other is tried one task at a time and gets nothing else.
-func TestWhoIsToBlame(t *testing.T) {
+// Failures are attributed to a machine on which tasks fail, or to a job that fails on several machines: the machine
+// counts as faulty, or the job is suspected. Otherwise a bad job would take good machines out of use, or a faulty
+// machine would make good jobs suspected.
+func TestFailureAttribution(t *testing.T) {
 	type end struct {
 		machine, job string
 		index        int
@@ -21,17 +22,17 @@
 		name     string
 		ends     []end // one after the other
 		machines []string
-		job      bool // x is suspect
+		job      bool // job x is suspected
 	}{
-		{"a sick machine", []end{fail("m0", "x", 0), fail("m0", "x", 1), fail("m0", "x", 2)}, []string{"m0"}, false},
-		{"a sick machine, and a job that is known to be good",
+		{"a faulty machine", []end{fail("m0", "x", 0), fail("m0", "x", 1), fail("m0", "x", 2)}, []string{"m0"}, false},
+		{"a faulty machine, and a proven job",
 			[]end{{"m1", "x", 9, model.CauseDone}, fail("m0", "x", 0), fail("m0", "x", 1), fail("m0", "x", 2)}, []string{"m0"}, false},
-		{"a bad job", []end{fail("m0", "x", 0), fail("m1", "x", 1), fail("m2", "x", 2), fail("m0", "x", 3), fail("m0", "x", 4),
+		{"a job that fails on several machines", []end{fail("m0", "x", 0), fail("m1", "x", 1), fail("m2", "x", 2), fail("m0", "x", 3), fail("m0", "x", 4),
 			fail("m0", "x", 5)}, nil, true},
-		{"a good job that met two sick machines", []end{fail("m0", "x", 0), fail("m1", "x", 1), {"m2", "x", 2, model.CauseDone}}, nil, false},
-		{"a bad job fails on a sick machine", []end{fail("m0", "x", 0), fail("m1", "x", 1), fail("m0", "y", 0), fail("m0", "y", 1),
+		{"a proven job that failed on two machines", []end{fail("m0", "x", 0), fail("m1", "x", 1), {"m2", "x", 2, model.CauseDone}}, nil, false},
+		{"a suspected job that also failed on a faulty machine", []end{fail("m0", "x", 0), fail("m1", "x", 1), fail("m0", "y", 0), fail("m0", "y", 1),
 			fail("m0", "z", 0)}, []string{"m0"}, true},
-		{"success acquits a machine", []end{fail("m0", "x", 0), fail("m0", "y", 0), {"m0", "z", 0, model.CauseDone}, fail("m0", "z", 1)}, nil, false},
+		{"a success clears a machine's failures", []end{fail("m0", "x", 0), fail("m0", "y", 0), {"m0", "z", 0, model.CauseDone}, fail("m0", "z", 1)}, nil, false},
 	} {
 		b := newBench(t)
 		for i := range 4 {
@@ -49,12 +50,12 @@
 			got = append(got, m.Name)
 		}
 		if fmt.Sprint(got) != fmt.Sprint(c.machines) || b.jobs.At("x").SuspectedPoison() != c.job {
-			t.Errorf("%s: suspects %v and %v, want %v and %v", c.name, got, b.jobs.At("x").SuspectedPoison(), c.machines, c.job)
+			t.Errorf("%s: faulty machines %v, job x suspected %v, want %v and %v", c.name, got, b.jobs.At("x").SuspectedPoison(), c.machines, c.job)
 		}
 	}
 }
 
-// reportAllTasks reports the bound tasks of a machine in one state.
+// reportAllTasks reports all bound tasks of a machine in the same state.
 func (b bench) reportAllTasks(s float64, machine string, state model.TaskState, cause model.Cause) {
 	b.Helper()
 	var reported []*peerspb.Task
@@ -64,26 +65,26 @@
 	b.report(s, machine, "current", 999, reported...)
 }
 
-// nextStart plays rounds until one starts a task, and returns its time.
+// nextStart runs rounds until one of them starts a task, and returns the time of that round.
 func (b bench) nextStart(now float64) float64 {
 	b.Helper()
 	for now += 0.25; b.round(now) == 0; now += 0.25 {
 		if now > 100 {
-			b.Fatal("never tried again")
+			b.Fatal("the job is not retried within 100 s")
 		}
 	}
 	return now
 }
 
-// Tasks that were started together fail together. That is one failure, and the
-// machines on which it happened are not given up for it.
-func TestManyFailAtOnce(t *testing.T) {
+// When tasks that were started together fail together, that counts as one failure of the job, and the machines on which
+// they ran do not count as faulty.
+func TestSimultaneousFailuresCountOnce(t *testing.T) {
 	b := newBench(t)
 	b.machine("m0", "big", "a")
 	b.machine("m1", "big", "a")
 	b.job("x", func(j *model.Job) { j.Tasks = 32 })
 	if n := b.round(1); n != 32 {
-		t.Fatalf("%d started", n)
+		t.Fatalf("%d tasks are started, want 32", n)
 	}
 	for _, name := range []string{"m0", "m1"} {
 		b.reportAllTasks(2, name, model.TaskRunning, "")
@@ -91,19 +92,19 @@
 	}
 	j := b.jobs.At("x")
 	if !j.SuspectedPoison() || len(b.FaultyMachines(3)) > 0 || j.failures != 1 {
-		t.Errorf("job suspect: %v, machines %d, failures %d", j.SuspectedPoison(), len(b.FaultyMachines(3)), j.failures)
+		t.Errorf("job suspected: %v, %d faulty machines, %d failures", j.SuspectedPoison(), len(b.FaultyMachines(3)), j.failures)
 	}
-	// From here on one task at a time, nothing is launched, and pauses grow.
+	// From now on, one task is tried at a time, no machine is launched for the job, and the pauses grow.
 	pauses := 0.0
 	now := 2.0
 	for range 4 {
 		from := now
 		now = b.nextStart(now)
 		if j.bound.Len() != 1 || len(b.UnmetDemands(at(now))) > 0 {
-			t.Errorf("%d tasks under way, %d needs", j.bound.Len(), len(b.UnmetDemands(at(now))))
+			t.Errorf("%d tasks bound, %d unmet demands", j.bound.Len(), len(b.UnmetDemands(at(now))))
 		}
 		if now-from < pauses {
-			t.Errorf("a pause of %v after one of %v", now-from, pauses)
+			t.Errorf("pause of %v s after one of %v s", now-from, pauses)
 		}
 		pauses = now - from
 		for _, u := range j.bound.All() {
--- a/internal/placement/job_writes_test.go
+++ b/internal/placement/job_writes_test.go
@@ -12,9 +12,9 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// A record that the version in production wrote is read, and shrinks at its next
-// write to what the fallen limits take, without a moment at which finished tasks are lost.
-func TestProductionRecord(t *testing.T) {
+// A record in the unsplit form, as written by the version in production, is read. When the limits of the state service
+// become lower, the record shrinks at its next writes to the new limits, and no finished task is lost after any of them.
+func TestUnsplitRecordIsReadAndSplit(t *testing.T) {
 	p := loadProduction(t)
 	b := newBench(t)
 	b.opt.PartTasks, b.opt.SplitTasks = model.PartTasks(8192-2048), model.PartTasks(1024-128)
@@ -26,16 +26,16 @@
 	if j.Finished() != 15000 || !j.Started || j.Spec.Deadline != 90*time.Second {
 		t.Fatalf("read %d finished tasks, %+v", j.Finished(), j.Spec)
 	}
-	// While some controller reads nothing else, the form is the old one.
+	// The unsplit form is written as long as some controller reads no other.
 	b.markFinished(j, j.pickTasks(1)[0])
 	old := b.DueWrites(at(5), time.Second, 4)[0]
 	if _, ok := old.Parts["t0"]; ok || old.Record == nil || len(old.Record.Finished) < 2048 {
-		t.Errorf("old form: %d parts", len(old.Parts))
+		t.Errorf("write is not in the unsplit form: %d parts", len(old.Parts))
 	}
 	b.WriteTooLarge(old)
-	refused := l.writeAll(t, b, 15000)
-	if refused > 0 || len(l.record) > 2048 {
-		t.Errorf("%d writes refused, a record of %d bytes", refused, len(l.record))
+	rejected := l.writeAll(t, b, 15000)
+	if rejected > 0 || len(l.record) > 2048 {
+		t.Errorf("%d writes rejected, record has %d bytes", rejected, len(l.record))
 	}
 	if got := l.load(t, b.opt).Finished(); got != 15001 {
 		t.Errorf("%d finished tasks at the end", got)
@@ -44,13 +44,14 @@
 	b.markFinished(j, j.pickTasks(1)[0])
 	l.writeAll(t, b, 15001)
 	if l.written != before+1 {
-		t.Errorf("one finished task more took %d writes", l.written-before)
+		t.Errorf("one more finished task took %d writes", l.written-before)
 	}
 }
 
-// A description that leaves no space for a part of the completion bitmap, and limits below what the settings
-// say: the completion bitmap goes in ever smaller parts, and what cannot be stored is not repeated.
-func TestTooLarge(t *testing.T) {
+// Writes that the state service rejects as too large are retried with smaller or fewer parts. Here the job's spec
+// leaves no space for a part of the completion bitmap in the record, and the store's limits are lower than the
+// settings. A write that cannot be made small enough is not repeated without end.
+func TestRejectedWritesShrink(t *testing.T) {
 	b := newBench(t)
 	b.opt.PartTasks, b.opt.SplitTasks = 40000, model.PartTasks(896)
 	b.job("req-000412", func(j *model.Job) { j.Tasks, j.Image = 5000, strings.Repeat("i", 1900) })
@@ -60,30 +61,30 @@
 	for i := 0; i < 5000; i += 3 {
 		b.markFinished(b.jobs.At("req-000412"), i)
 	}
-	if refused := l.writeAll(t, b, 0); refused == 0 || refused > 10 {
-		t.Errorf("%d writes refused", refused)
+	if rejected := l.writeAll(t, b, 0); rejected == 0 || rejected > 10 {
+		t.Errorf("%d writes rejected", rejected)
 	}
 	if got := l.load(t, b.opt).Finished(); got != 1667 {
 		t.Errorf("%d finished tasks", got)
 	}
-	// Fewer changes in a transaction than the settings say.
+	// The store accepts fewer operations per transaction than the settings allow.
 	l.maxOps = 2
 	for i := 1; i < 5000; i += 3 {
 		b.markFinished(b.jobs.At("req-000412"), i)
 	}
-	if refused := l.writeAll(t, b, 1667); refused > 3 || l.load(t, b.opt).Finished() != 3334 {
-		t.Errorf("%d writes refused, %d finished tasks", refused, l.load(t, b.opt).Finished())
+	if rejected := l.writeAll(t, b, 1667); rejected > 3 || l.load(t, b.opt).Finished() != 3334 {
+		t.Errorf("%d writes rejected, %d finished tasks", rejected, l.load(t, b.opt).Finished())
 	}
 	l.valueBytes = 0
 	b.markFinished(b.jobs.At("req-000412"), 2)
-	if refused := l.writeAll(t, b, 3334); refused > 10 {
-		t.Errorf("%d writes refused by a store that takes nothing", refused)
+	if rejected := l.writeAll(t, b, 3334); rejected > 10 {
+		t.Errorf("%d writes rejected by a store that accepts nothing", rejected)
 	}
 }
 
-// A released job's record has nothing that the version in production does not know,
-// so a leader of that version runs it like any other.
-func TestRecordForm(t *testing.T) {
+// The record of a job that does not wait for dependencies contains no fields that the version in production does not
+// know, except job.yard. A leader of that version therefore runs the job like any other.
+func TestRecordFieldsKnownToProductionVersion(t *testing.T) {
 	keys := func(v json.RawMessage) (out []string) {
 		var m map[string]json.RawMessage
 		if err := json.Unmarshal(v, &m); err != nil {
@@ -113,29 +114,30 @@
 	}
 	for _, k := range keys(v) {
 		if !slices.Contains(known, k) && k != "job.yard" {
-			t.Errorf("%s is new", k)
+			t.Errorf("field %s is unknown to the version in production", k)
 		}
 	}
 	final, err := json.Marshal(Final{Stage: model.Cancelled, Tasks: 3})
 	if err != nil || !slices.Equal(keys(final), keys(p.Final)) {
-		t.Errorf("a final record of %v", keys(final))
+		t.Errorf("final record has the fields %v", keys(final))
 	}
 }
 
-// Where more is due than is let through, jobs are reported to be done in the order of their ends: none
-// is overtaken, whatever fails, and what waits longest goes before it, however much is news to nobody.
-func TestSavesGoInTurn(t *testing.T) {
+// When more writes are due than may be in flight, final writes are sent in the order in which the jobs finished, also
+// if some writes fail and many writes only serve for display. Otherwise some jobs would be reported as finished long
+// after jobs that ended later.
+func TestDueWritesOrder(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		fails   int // every so-maniest write fails; 0: none
-		started int // arrays that start in each second, besides
+		fails   int // every n-th write fails; 0: none
+		started int // additional arrays that start in each second
 	}{{"all are taken", 0, 0}, {"every third fails", 3, 0}, {"many start", 0, 30}, {"many start, every second fails", 2, 30}} {
 		b := newBench(t)
 		ended := map[string]int{}
 		slowest, reported, tries := 0, 0, 0
-		var under []*JobWrite
+		var inFlight []*JobWrite
 		for s := range 60 {
-			for i := range 8 { // more end than two thirds of the writes can report
+			for i := range 8 { // as many final writes per second as two thirds of the writes in flight
 				id := fmt.Sprintf("req-%d-%d", (s*8+i)*7919%1000, s)
 				b.job(id, nil)
 				b.jobs.At(id).Accepted, ended[id] = at(float64(s)), s
@@ -146,11 +148,11 @@
 				b.job(id, func(j *model.Job) { j.Tasks = 2 })
 				b.jobs.At(id).dirty = true
 			}
-			under = b.DueWrites(at(float64(s)), time.Second, 8)
-			if len(under) > maxWritesInFlight {
-				t.Fatalf("%s: %d writes at once", c.name, len(under))
+			inFlight = b.DueWrites(at(float64(s)), time.Second, 8)
+			if len(inFlight) > maxWritesInFlight {
+				t.Fatalf("%s: %d writes in flight", c.name, len(inFlight))
 			}
-			for _, v := range under {
+			for _, v := range inFlight {
 				tries++
 				ok := c.fails == 0 || tries%c.fails != 0
 				b.WriteDone(v, ok, 5)
@@ -160,17 +162,17 @@
 			}
 		}
 		if reported < 250 {
-			t.Errorf("%s: %d reported", c.name, reported)
+			t.Errorf("%s: only %d jobs were reported as finished", c.name, reported)
 		}
 		if most := map[int]int{0: 1, 3: 3, 2: 31}[c.fails]; slowest > most {
-			t.Errorf("%s: one was reported %d s after its end", c.name, slowest)
+			t.Errorf("%s: a job was reported as finished %d s after its end", c.name, slowest)
 		}
 	}
 }
 
-// What the state service takes falls below what is stored: parts shrink, and at no moment is a
-// mark that was stored in neither the old nor the new ones, whichever tasks end next, and however
-// few parts a transaction takes.
+// When the limit of the state service falls below the size of the stored parts, the parts shrink. After each write,
+// every finished task that was stored before is still in an old or a new part, whichever task finishes next and however
+// few parts a transaction holds.
 func TestPartsShrink(t *testing.T) {
 	for _, parts := range []int{1, 2, 4} {
 		for _, value := range []int{60, 90, 400} { // from 64 and 320 tasks a part to the record's own shrinking
@@ -189,14 +191,14 @@
 							b.markFinished(j, i)
 						}
 					}
-					if refused := l.writeAll(t, b, 0); refused > 0 || l.load(t, b.opt).Finished() != 500 {
-						t.Fatalf("%d writes refused, %d finished tasks", refused, l.load(t, b.opt).Finished())
+					if rejected := l.writeAll(t, b, 0); rejected > 0 || l.load(t, b.opt).Finished() != 500 {
+						t.Fatalf("%d writes rejected, %d finished tasks", rejected, l.load(t, b.opt).Finished())
 					}
 					l.valueBytes, l.maxOps = value, parts
 					b.markFinished(j, next)
-					refused := l.writeAll(t, b, 500)
-					if got := l.load(t, b.opt).Finished(); refused == 0 || got != 501 {
-						t.Errorf("%d writes refused, %d finished tasks at the end", refused, got)
+					rejected := l.writeAll(t, b, 500)
+					if got := l.load(t, b.opt).Finished(); rejected == 0 || got != 501 {
+						t.Errorf("%d writes rejected, %d finished tasks at the end", rejected, got)
 					}
 				})
 			}
@@ -204,9 +206,9 @@
 	}
 }
 
-// Parts start to be split while a job's record is being written in the earlier form. What that
-// record holds beyond the first split part is stored again before the record shrinks.
-func TestSplitDuringASave(t *testing.T) {
+// Parts begin to be split while a write of a job's record in the unsplit form is in flight. The tasks in that record
+// that do not fit into the first split part are stored again before the record shrinks.
+func TestSplitDuringWrite(t *testing.T) {
 	b := newBench(t)
 	b.opt.PartTasks, b.opt.SplitTasks = 40000, 512
 	b.job("req-000412", func(j *model.Job) { j.Tasks = 5000 })
@@ -218,19 +220,20 @@
 	s := b.DueWrites(at(0), time.Second, 4)[0]
 	b.SplitParts()
 	if !l.accept(t, s) || l.load(t, b.opt).Finished() != 1667 {
-		t.Fatal("the record isn't stored")
+		t.Fatal("the record is not stored")
 	}
 	b.WriteDone(s, true, l.revision)
 	b.markFinished(j, 1)
-	if refused := l.writeAll(t, b, 1667); refused > 0 || l.load(t, b.opt).Finished() != 1668 || len(l.parts) < 9 {
-		t.Errorf("%d writes refused, %d finished tasks, %d parts", refused, l.load(t, b.opt).Finished(), len(l.parts))
+	if rejected := l.writeAll(t, b, 1667); rejected > 0 || l.load(t, b.opt).Finished() != 1668 || len(l.parts) < 9 {
+		t.Errorf("%d writes rejected, %d finished tasks, %d parts", rejected, l.load(t, b.opt).Finished(), len(l.parts))
 	}
 }
 
-// A leader that fails while parts shrink is followed by one that starts with large ones again.
-func TestPartsShrinkUnderTwoLeaders(t *testing.T) {
+// A leader fails while parts shrink, and the next leader begins with large parts again. No finished task is lost,
+// whichever number of writes the first leader completed.
+func TestLeaderFailsWhilePartsShrink(t *testing.T) {
 	halfway := 0
-	for n := range 24 { // writeCount of the first one
+	for n := range 24 { // rounds of writes of the first leader
 		b := newBench(t)
 		b.opt.PartTasks, b.opt.SplitTasks = 40000, 1024
 		b.job("req-000412", func(j *model.Job) { j.Tasks = 2000 })
@@ -263,19 +266,19 @@
 			t.Fatal(err)
 		}
 		next.markFinished(next.jobs.At("req-000412"), 0)
-		refused := l.writeAll(t, next, 500)
-		if got := l.load(t, b.opt).Finished(); refused == 0 || got != 501 {
-			t.Errorf("after %d writes: %d refused, %d finished tasks at the end", n, refused, got)
+		rejected := l.writeAll(t, next, 500)
+		if got := l.load(t, b.opt).Finished(); rejected == 0 || got != 501 {
+			t.Errorf("after %d rounds of writes: %d rejected, %d finished tasks at the end", n, rejected, got)
 		}
 	}
 	if halfway < 3 {
-		t.Errorf("%d leaders failed halfway: it shows nothing", halfway)
+		t.Errorf("only %d leaders failed halfway: the test shows nothing", halfway)
 	}
 }
 
-// Marks that the state service takes in no form are not sent again before more tasks end, and the
-// job is done all the same, also if its last task ends while such a write is under way. A final
-// record that is refused is not sent again.
+// A completion bitmap that the state service accepts in no form is not sent again before more tasks finish. The job
+// still gets its final write, also if its last task finishes while a write of the bitmap is in flight. A final record
+// that is rejected is not sent again.
 func TestFinishedWithoutStoredBitmap(t *testing.T) {
 	for _, tasks := range []int{60, 200, 1000} {
 		for _, maxParts := range []int{1, 4} {
@@ -292,32 +295,32 @@
 				now += 2
 				return b.DueWrites(at(now), time.Second, maxParts)
 			}
-			refuse := func(least int) {
+			rejectAll := func(least int) {
 				t.Helper()
-				refused := 0
+				rejected := 0
 				for writes := next(); len(writes) > 0; writes = next() {
-					if refused++; refused > 10 {
-						t.Fatalf("%d tasks, %d parts: writes never end", tasks, maxParts)
+					if rejected++; rejected > 10 {
+						t.Fatalf("%d tasks, %d parts: the writes do not end", tasks, maxParts)
 					}
 					b.WriteTooLarge(writes[0])
 				}
-				if refused < least {
-					t.Fatalf("%d tasks, %d parts: %d writes refused", tasks, maxParts, refused)
+				if rejected < least {
+					t.Fatalf("%d tasks, %d parts: %d writes rejected", tasks, maxParts, rejected)
 				}
 			}
-			refuse(1)
+			rejectAll(1)
 			b.markFinished(j, tasks-2)
 			writes := next()
 			if len(writes) != 1 || writes[0].Over != nil {
-				t.Fatalf("%d tasks, %d parts: due is %v", tasks, maxParts, writes)
+				t.Fatalf("%d tasks, %d parts: due writes are %v", tasks, maxParts, writes)
 			}
 			b.markFinished(j, tasks-1)
 			b.WriteTooLarge(writes[0])
 			if writes = next(); len(writes) != 1 || writes[0].Over == nil {
-				t.Fatalf("%d tasks, %d parts: due at the end is %v", tasks, maxParts, writes)
+				t.Fatalf("%d tasks, %d parts: due writes at the end are %v", tasks, maxParts, writes)
 			}
 			b.WriteTooLarge(writes[0])
-			refuse(0)
+			rejectAll(0)
 		}
 	}
 }
--- a/internal/placement/limited_store_test.go
+++ b/internal/placement/limited_store_test.go
@@ -7,9 +7,8 @@
 	"time"
 )
 
-// What the version before split parts wrote, and a job's final record as it wrote
-// it. Made by that version's own cluster state: an array of 40,000 tasks, values of 8 KiB,
-// 15,000 tasks drawn and marked.
+// production holds a job's records as written by the version before split parts. They were made by that version's own
+// cluster state: an array of 40,000 tasks, values of 8 KiB, and 15,000 tasks drawn at random and marked as finished.
 type production struct {
 	Record json.RawMessage   `json:"record"`
 	Parts  map[string]string `json:"parts"`
@@ -27,8 +26,7 @@
 	return p
 }
 
-// limitedStore is a store of one job's records with limits: it takes writes as the state
-// service does.
+// limitedStore stores one job's records, and rejects writes that exceed its limits as the state service does.
 type limitedStore struct {
 	valueBytes, maxOps int
 	record             json.RawMessage
@@ -38,6 +36,7 @@
 	now                float64
 }
 
+// accept stores a write, and reports whether it is within the limits.
 func (l *limitedStore) accept(t *testing.T, s *JobWrite) bool {
 	ops := len(s.Parts)
 	size := 0
@@ -65,36 +64,36 @@
 	return true
 }
 
-// maxParts is how many parts a transaction takes in these tests.
+// maxParts is the most parts that a transaction holds in these tests.
 const maxParts = 4
 
-// writeAll plays writes until nothing is due, and returns how many were rejected. After
-// each the completion bitmap must be read back as it was, at whatever moment the leader fails.
-func (l *limitedStore) writeAll(t *testing.T, b bench, least int) (refused int) {
+// writeAll applies writes until none is due, and returns the number of rejected ones. After each write, a new leader
+// that reads the records must find at least as many finished tasks as were stored before.
+func (l *limitedStore) writeAll(t *testing.T, b bench, least int) (rejected int) {
 	t.Helper()
 	for range 100 {
 		l.now += 2
 		writes := b.DueWrites(at(l.now), time.Second, maxParts)
 		if len(writes) == 0 {
-			return refused
+			return rejected
 		}
 		for _, v := range writes {
 			if l.accept(t, v) {
 				b.WriteDone(v, true, l.revision)
 			} else {
-				refused++
+				rejected++
 				b.WriteTooLarge(v)
 			}
 		}
 		if got := l.load(t, b.opt).Finished(); got < least {
-			t.Fatalf("%d finished tasks came back, %d were stored before", got, least)
+			t.Fatalf("%d finished tasks were read back, %d were stored before", got, least)
 		}
 	}
-	t.Fatal("writes never end")
+	t.Fatal("the writes do not end")
 	return 0
 }
 
-// load reads the job back into a new cluster state.
+// load returns the job as a new cluster state reads it.
 func (l *limitedStore) load(t *testing.T, opt Options) *Job {
 	again := newBench(t)
 	again.opt.PartTasks, again.opt.SplitTasks = opt.PartTasks, opt.SplitTasks
--- a/internal/placement/reachability_test.go
+++ b/internal/placement/reachability_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// An owner that gets no heartbeats from most of a pool's machines, while they report
-// elsewhere, is unreachable for them; machines that are down or moved are not its fault.
-func TestDeafOwner(t *testing.T) {
+// An owner is unreachable for a pool if it gets no heartbeats from at least a third of the pool's machines, while these
+// send heartbeats to other controllers. Machines that are down or have moved are not evidence against the owner.
+func TestUnreachablePools(t *testing.T) {
 	late := 3 * time.Second
 	for _, c := range []struct {
 		name        string
@@ -20,10 +20,10 @@
 	}{
 		{"all send heartbeats, one was misdirected when it came up", 0, []string{"m0"}, "n1", 11, false},
 		{"all are silent", 4, nil, "n1", 11, false},
-		{"all are silent here and report elsewhere", 4, []string{"m0", "m1", "m2", "m3"}, "n1", 11, true},
-		{"half of them", 2, []string{"m0", "m1"}, "n1", 11, true},
-		{"one of them", 1, []string{"m0"}, "n1", 11, false},
-		{"they knocked long ago", 4, []string{"m0", "m1", "m2", "m3"}, "n1", 15, false},
+		{"all are silent and report to another controller", 4, []string{"m0", "m1", "m2", "m3"}, "n1", 11, true},
+		{"half of them report to another controller", 2, []string{"m0", "m1"}, "n1", 11, true},
+		{"one of them reports to another controller", 1, []string{"m0"}, "n1", 11, false},
+		{"they reported to another controller long ago", 4, []string{"m0", "m1", "m2", "m3"}, "n1", 15, false},
 		{"they report to their owner", 4, []string{"m0", "m1", "m2", "m3"}, "n0", 11, false},
 	} {
 		b := newBench(t)
@@ -39,30 +39,30 @@
 			b.MisdirectedHeartbeat(name, c.from, at(10))
 		}
 		if got := b.UnreachablePools(at(c.now), late); (len(got) > 0) != c.unreachable {
-			t.Errorf("%s: unreachable for %v", c.name, got)
+			t.Errorf("%s: unreachable pools %v", c.name, got)
 		}
 		b.TokenRenewed(9, at(c.now))
 		if got := b.UnreachablePools(at(c.now), late); len(got) > 0 {
-			t.Errorf("%s: the next owner is unreachable for %v at once", c.name, got)
+			t.Errorf("%s: unreachable pools %v immediately after a fresh token", c.name, got)
 		}
 	}
-	// A pool that went to an owner which its machines cannot reach either.
+	// The pool's next owner cannot be reached by its machine either.
 	b := newBench(t)
 	b.machine("m0", "small", "a")
 	b.TokenRenewed(9, at(10))
 	b.MisdirectedHeartbeat("m0", "n1", at(14))
 	if got := b.UnreachablePools(at(15), late); len(got) != 0 {
-		t.Errorf("a machine that may get no responses: unreachable for %v", got)
+		t.Errorf("machine that may get no responses: unreachable pools %v", got)
 	}
-	b.MisdirectedHeartbeat("m0", "n1", at(19)) // it was sent to its owner, and is back
+	b.MisdirectedHeartbeat("m0", "n1", at(19)) // it was redirected to its owner, and returned
 	if got := b.UnreachablePools(at(20), late); len(got) != 1 {
-		t.Errorf("never reported to the new owner: unreachable for %v", got)
+		t.Errorf("machine that never reported to the new owner: unreachable pools %v", got)
 	}
 }
 
-// A machine that no answer reaches comes to one controller after the other, seconds apart: it
-// gets nothing, and is no sign against its owner, until it has stayed away from the others.
-func TestWandering(t *testing.T) {
+// A machine that gets no responses sends heartbeats to one controller after the other, seconds apart. Until it has sent
+// none to other controllers for a while, it is not usable, and does not count as evidence against its owner.
+func TestCyclingMachineIsUnusable(t *testing.T) {
 	type misdirected struct {
 		at     float64
 		member string
@@ -72,12 +72,12 @@
 		heartbeats []misdirected
 		cycles     bool
 	}{
-		{"it comes back to the same one", []misdirected{{5, "n1"}, {10, "n1"}, {15, "n1"}}, false},
-		{"it follows the answers", []misdirected{{5, "n1"}, {5.3, "n2"}, {5.9, "n1"}}, false},
-		{"no answer reaches it", []misdirected{{5, "n1"}, {10, "n2"}}, true},
-		{"its owner in between", []misdirected{{5, "n1"}, {10, "n2"}, {20, "n1"}}, true},
+		{"it returns to the same controller", []misdirected{{5, "n1"}, {10, "n1"}, {15, "n1"}}, false},
+		{"it follows redirects", []misdirected{{5, "n1"}, {5.3, "n2"}, {5.9, "n1"}}, false},
+		{"it gets no responses", []misdirected{{5, "n1"}, {10, "n2"}}, true},
+		{"it reports to its owner in between", []misdirected{{5, "n1"}, {10, "n2"}, {20, "n1"}}, true},
 		{"it gets responses again", []misdirected{{5, "n1"}, {10, "n2"}, {10.5, "n1"}}, false},
-		{"long ago", []misdirected{{1, "n1"}, {20, "n2"}}, false},
+		{"its last misdirected heartbeat was long before", []misdirected{{1, "n1"}, {20, "n2"}}, false},
 	} {
 		b := newBench(t)
 		b.machine("m", "small", "a")
@@ -90,14 +90,14 @@
 			last = k.at
 		}
 		if m.cyclesControllers != c.cycles || m.usable() || (len(b.UnreachablePools(at(last), time.Second)) > 0) == c.cycles {
-			t.Errorf("%s: cycles %v, counts against its owner %v", c.name, m.cyclesControllers, b.UnreachablePools(at(last), time.Second))
+			t.Errorf("%s: cycles through controllers: %v, unreachable pools %v", c.name, m.cyclesControllers, b.UnreachablePools(at(last), time.Second))
 		}
 		m.MissedHeartbeats = false
 		if b.expireMisdirected(at(last + 5)); m.usable() == c.cycles {
-			t.Errorf("%s: soon after it is usable: %v", c.name, m.usable())
+			t.Errorf("%s: usable 5 s later: %v", c.name, m.usable())
 		}
 		if b.expireMisdirected(at(last + 13)); !m.usable() {
-			t.Errorf("%s: it is not used when it has stayed with its owner", c.name)
+			t.Errorf("%s: it is still not usable 13 s after its last misdirected heartbeat", c.name)
 		}
 	}
 }
--- a/internal/placement/silent_pools_test.go
+++ b/internal/placement/silent_pools_test.go
@@ -10,12 +10,14 @@
 
 var poolA = model.Pool{Type: "small", Zone: "a"}
 
-// The silence of a machine under one owner says nothing of the next owner, which has had no time to hear it.
+// The time for which a machine has been silent restarts with a fresh token, because the next owner has had no time yet
+// to get its heartbeats.
 //
-// A machine that had ended was taken for silent at the very moment of a fresh token, because its silence counted from
-// the owner before the last. It was half of its pool, so the other machine of the pool was kept away from the new
-// owner until that one counted as unreachable too, and so on: the pool changed owners every 3 to 4 s for ever
-// (simtest, seed 21147004189: "vm-005 phase=unseen since=3.09s" in the millisecond of the fresh token at 42.996 s).
+// Otherwise a machine that had ended counted as silent in the same millisecond in which the token was renewed: its
+// silence was counted from the time of the owner before the last. It was half of its pool, so the pool's other machine
+// was kept away from the new owner until that owner counted as unreachable too, and so on: the pool changed owners
+// every 3 to 4 s for ever (simtest, seed 21147004189: "vm-005 phase=unseen since=3.09s" in the millisecond of the
+// fresh token at 42.996 s).
 func TestSilenceRestartsWithNewOwner(t *testing.T) {
 	late := 3 * time.Second
 	b := newBench(t)
@@ -36,12 +38,13 @@
 			b.TokenRenewed(step.renew, at(step.at))
 		}
 		if got := b.SilentPools(at(step.at), late)[poolA]; got != step.silent {
-			t.Errorf("at %v s: the pool is silent: %v", step.at, got)
+			t.Errorf("at %v s: pool counts as silent: %v", step.at, got)
 		}
 	}
 }
 
-// Machines whose leases have expired are no sign against the owner of their pool, unless they report to others.
+// Machines whose leases have expired are not evidence against their pool's owner, unless they report to other
+// controllers.
 func TestExpiredMachinesAreNotSilent(t *testing.T) {
 	b := newBench(t)
 	for i := range 4 {
--- a/internal/placement/suspicion_test.go
+++ b/internal/placement/suspicion_test.go
@@ -7,20 +7,21 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// A job that failed on two faulty machines is suspected for no longer than it takes to see that it runs
-// elsewhere; one all of whose tasks fail stays suspected.
+// A job that failed on two faulty machines is suspected only until one of its tasks has run on another machine for long
+// enough. Otherwise a service, whose tasks never finish, would be suspected for ever. A job whose tasks all fail stays
+// suspected.
 func TestSuspicionCleared(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		shape model.Shape
-		state model.TaskState // of the task that is left
-		ran   float64         // for how long
-		next  bool            // another one is started
+		state model.TaskState // of the remaining task
+		ran   float64         // seconds from its last report to the round
+		next  bool            // another task is started
 	}{
 		{"a service", model.Service, model.TaskRunning, 46, true},
 		{"an array of long tasks", model.Array, model.TaskRunning, 46, true},
-		{"not yet", model.Service, model.TaskRunning, 44, false},
-		{"it only fetches its image", model.Array, model.TaskFetching, 46, false},
+		{"a service that has not run for long enough", model.Service, model.TaskRunning, 44, false},
+		{"a task that is still fetching its image", model.Array, model.TaskFetching, 46, false},
 	} {
 		b := newBench(t)
 		b.job("x", func(j *model.Job) { j.Shape, j.Tasks, j.Estimate = c.shape, 3, time.Hour })
@@ -32,7 +33,7 @@
 		b.report(10, "good", "current", 99, task("x", 2, 1, model.TaskFetching, ""))
 		b.report(11, "good", "current", 99, task("x", 2, 1, c.state, ""))
 		if !b.jobs.At("x").SuspectedPoison() {
-			t.Fatalf("%s: it is not suspected", c.name)
+			t.Fatalf("%s: the job is not suspected", c.name)
 		}
 		b.TryComplete()
 		b.ReconcileGangs(at(11 + c.ran))
--- a/internal/placement/uncordon_test.go
+++ b/internal/placement/uncordon_test.go
@@ -8,30 +8,30 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// longSpotTask makes a job a long task with checkpoints, for which only spot machines are rented.
+// longSpotTask changes a job into one long task with checkpoints, for which only spot machines are launched.
 func longSpotTask(j *model.Job) {
 	longCheckpointedTasks(j)
 	j.Tasks, j.Size = 1, model.Size{CPUs: 2, MemoryGB: 2}
 }
 
-// oneZoneGang makes a job a gang that must stay in one zone.
+// oneZoneGang changes a job into a gang that must stay in one zone.
 func oneZoneGang(j *model.Job) { j.Shape, j.Tasks, j.OneZone = model.Gang, 4, true }
 
-// uncordonCases withhold all small machines, a0, a1 and b0, from job x.
+// uncordonCases are cases in which all small machines, a0, a1 and b0, are withheld from job x.
 var uncordonCases = []struct {
 	name       string
 	job        func(j *model.Job)
 	withhold   func(b bench)
-	uncordoned string // which machines, 46 s later
+	uncordoned string // the machines that are uncordoned 46 s later
 }{
-	{"only spot machines are rented for it", longSpotTask, func(b bench) { b.scaleInAll("a0", "a1", "b0") }, "[a0]"},
-	{"it failed on two other machines", nil, func(b bench) {
+	{"only spot machines are launched for the job", longSpotTask, func(b bench) { b.scaleInAll("a0", "a1", "b0") }, "[a0]"},
+	{"the job failed on two other machines", nil, func(b bench) {
 		b.scaleInAll("a0", "a1", "b0")
 		b.jobs.At("x").failedOn = map[string]bool{"gone": true, "too": true}
 	}, "[a0]"},
 	{"all machines are quarantined, and run replicas", nil, func(b bench) { b.quarantineAll("a0", "a1", "b0") }, "[a0]"},
-	{"rather a machine that scales in", longSpotTask, func(b bench) { b.quarantineAll("a0", "a1"); b.scaleInAll("b0") }, "[b0]"},
-	{"not where it failed itself", nil, func(b bench) {
+	{"a machine that scales in is preferred to a quarantined one", longSpotTask, func(b bench) { b.quarantineAll("a0", "a1"); b.scaleInAll("b0") }, "[b0]"},
+	{"a quarantined machine on which the job itself failed stays cordoned", nil, func(b bench) {
 		b.quarantineAll("a0", "a1", "b0")
 		b.jobs.At("x").failedOn = map[string]bool{"a0": true}
 	}, "[a1]"},
@@ -45,13 +45,13 @@
 		b.jobs.At("stays").retryAt = at(1000)
 		b.report(1, "a0", "current", 99)
 	}, "[a1]"},
-	{"a oneZoneGang, all that it takes in one zone", oneZoneGang, func(b bench) { b.quarantineAll("a0", "a1", "b0") }, "[a0 a1]"},
+	{"a gang that must stay in one zone gets all machines that it needs there", oneZoneGang, func(b bench) { b.quarantineAll("a0", "a1", "b0") }, "[a0 a1]"},
 	{"a gang for which there is too little capacity", func(j *model.Job) { oneZoneGang(j); j.Tasks = 5 }, func(b bench) { b.quarantineAll("a0", "a1", "b0") }, "[]"},
-	{"its zone only", func(j *model.Job) { j.Zone = "b" }, func(b bench) { b.quarantineAll("a0", "a1", "b0") }, "[b0]"},
+	{"a job that names its zone", func(j *model.Job) { j.Zone = "b" }, func(b bench) { b.quarantineAll("a0", "a1", "b0") }, "[b0]"},
 }
 
-// A machine that scales in, or is quarantined, is uncordoned for a job that has found no capacity for too long,
-// whatever the job is; it doesn't scale in again at once.
+// A machine that scales in or is quarantined is uncordoned for a job that has found no capacity for too long,
+// whatever kind of job it is. The machine is then protected from scale-in for a while.
 func TestUncordon(t *testing.T) {
 	for _, c := range uncordonCases {
 		b := spotBench(t)
@@ -75,21 +75,21 @@
 		}
 		uncordoned := b.usableExcept("unused")
 		if fmt.Sprint(uncordoned) != c.uncordoned || len(uncordoned) > 0 && now > uncordonAfter.Seconds()+4 {
-			t.Errorf("%s: %v after %v s, want %s", c.name, uncordoned, now, c.uncordoned)
+			t.Errorf("%s: uncordoned %v after %v s, want %s", c.name, uncordoned, now, c.uncordoned)
 		}
 		for s := 1.0; s < 40; s++ {
 			if b.Consolidate(at(now + s)); len(uncordoned) > 0 && !b.machines.At(uncordoned[0]).usable() {
-				t.Errorf("%s: withheld again %v s later", c.name, s)
+				t.Errorf("%s: machine is withheld again %v s later", c.name, s)
 				break
 			}
 		}
 	}
 	if uncordonAfter > 45*time.Second {
-		t.Errorf("capacity is withheld for %v: users allow 90 s in all", uncordonAfter)
+		t.Errorf("capacity is withheld for %v: users accept 90 s in total", uncordonAfter)
 	}
 }
 
-// usableExcept names the usable machines, except one.
+// usableExcept returns the names of the usable machines, except one.
 func (b bench) usableExcept(name string) []string {
 	usable := []string{}
 	for other, m := range b.machines.All() {
@@ -100,7 +100,7 @@
 	return usable
 }
 
-// scaleInAll chooses machines for scale-in.
+// scaleInAll makes machines scale-in candidates.
 func (b bench) scaleInAll(names ...string) {
 	for _, name := range names {
 		b.setScaleIn(b.machines.At(name), true)
