--- a/internal/placement/failure_attribution_test.go
+++ b/internal/placement/failure_attribution_test.go
@@ -70,7 +70,7 @@
 	b.Helper()
 	for now += 0.25; b.round(now) == 0; now += 0.25 {
 		if now > 100 {
-			b.Fatal("the job is not retried within 100 s")
+			b.Fatal("the job is not retried before 100 s")
 		}
 	}
 	return now
--- a/internal/placement/reachability.go
+++ b/internal/placement/reachability.go
@@ -9,7 +9,7 @@
 
 // misdirectedHeartbeats represents what a machine's heartbeats to controllers that do not own its pool show.
 type misdirectedHeartbeats struct {
-	misdirectedAt     time.Time // when the last one was sent
+	misdirectedAt     time.Time // when the last one was reported
 	misdirectedTo     string    // the controller that received the last one
 	cyclesControllers bool      // it tries one controller after the other, like a machine that gets no responses
 	followsRedirects  bool      // the last ones show that it follows redirects in responses
