--- a/internal/placement/drain.go
+++ b/internal/placement/drain.go
@@ -6,11 +6,11 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// OpsPrefix begins the keys of what operators have put in force. A new leader reads them before
-// it builds its cluster state.
+// OpsPrefix is the prefix of the keys under which the state service stores operators' orders that are in force.
+// A new leader reads them before it builds its cluster state.
 const OpsPrefix = "ops/"
 
-// DrainPrefix begins the keys of drains in the state service.
+// DrainPrefix is the prefix of the keys of drains in the state service.
 const DrainPrefix = OpsPrefix + "drain/"
 
 // Scope is the kind of object that a drain names.
@@ -23,26 +23,26 @@
 	TypeScope Scope = "type"
 )
 
-// Drain is an operator's order that machines are to be emptied. It is stored under
-// ops/drain/<scope>/<name>, and in force until that record is deleted.
+// Drain is an operator's order to empty machines of tasks. It is stored under ops/drain/<scope>/<name> and is in
+// force until that record is deleted.
 type Drain struct {
 	Scope    Scope     `json:"scope"`
 	Name     string    `json:"name"`
-	Since    time.Time `json:"since"`    // by the wall clock of the leader that accepted it
-	Deadline time.Time `json:"deadline"` // when tasks that have not ended are stopped; zero: never
-	Keep     bool      `json:"keep"`     // machines are not scaled in when they are empty
-	Force    bool      `json:"force"`    // at the deadline gangs are stopped even if there is no other capacity for them
+	Since    time.Time `json:"since"`    // wall clock of the leader that accepted the drain
+	Deadline time.Time `json:"deadline"` // when the remaining tasks are stopped; zero: never
+	Keep     bool      `json:"keep"`     // empty machines are not scaled in
+	Force    bool      `json:"force"`    // at the deadline gangs are stopped even if no other machines have capacity for them
 	Reason   string    `json:"reason"`
 	Who      string    `json:"who"`
 }
 
-// Target names what is drained, such as zone/lambrate.
+// Target returns the scope and name of the drained object, such as zone/lambrate.
 func (d *Drain) Target() string { return string(d.Scope) + "/" + d.Name }
 
-// Key returns the key of its record.
+// Key returns the key of the drain's record in the state service.
 func (d *Drain) Key() string { return DrainPrefix + d.Target() }
 
-// covers reports whether a machine is to be emptied by it.
+// covers reports whether the drain applies to a machine.
 func (d *Drain) covers(name string, pool model.Pool) bool {
 	switch d.Scope {
 	case NodeScope:
@@ -53,11 +53,11 @@
 	return d.Name == pool.Type
 }
 
-// coversPool reports whether every machine of a pool is to be emptied by it.
+// coversPool reports whether the drain applies to every machine of a pool.
 func (d *Drain) coversPool(pool model.Pool) bool { return d.Scope != NodeScope && d.covers("", pool) }
 
-// SetDrains replaces all drains. No task is started on a drained machine from now on; starts that were ordered
-// before are stopped.
+// SetDrains replaces all drains. From now on no task is started on a drained machine, and tasks whose start was
+// ordered before are stopped.
 func (cs *ClusterState) SetDrains(drains []*Drain, now time.Time) {
 	cs.drains = model.NewTable[string, *Drain]()
 	for _, drain := range drains {
@@ -74,7 +74,8 @@
 // Drains returns the drains by target.
 func (cs *ClusterState) Drains() *model.Table[string, *Drain] { return cs.drains }
 
-// updateDrain is the one place where a machine starts or ceases to be drained.
+// updateDrain recomputes which drain applies to a machine, and sends the cordon state to its owner if it has changed.
+// No other function changes a machine's drain, except that Import restores it.
 func (cs *ClusterState) updateDrain(m *Machine) {
 	was := m.drain != nil
 	m.drain = cs.effectiveDrain(m)
@@ -83,8 +84,8 @@
 	}
 }
 
-// effectiveDrain merges the drains that cover a machine; nil if none does. The soonest deadline holds, and the
-// machine is kept if any drain says so.
+// effectiveDrain returns the merged drains that cover a machine; nil if there are none. The merged drain has the
+// soonest deadline, and the machine is kept if any of the drains has Keep set.
 func (cs *ClusterState) effectiveDrain(machine *Machine) *Drain {
 	var effective *Drain
 	for _, drain := range cs.drains.All() {
@@ -104,13 +105,13 @@
 	return effective
 }
 
-// Drained reports whether the machine is to be emptied.
+// Drained reports whether a drain covers the machine.
 func (m *Machine) Drained() bool { return m.drain != nil }
 
-// KeptByDrain reports whether the machine is drained, and not to be scaled in when it is empty.
+// KeptByDrain reports whether the machine is drained and must not be scaled in when it is empty.
 func (m *Machine) KeptByDrain() bool { return m.drain != nil && m.drain.Keep }
 
-// poolDrained reports whether every machine of a pool is to be emptied.
+// poolDrained reports whether a drain covers every machine of a pool.
 func (cs *ClusterState) poolDrained(pool model.Pool) bool {
 	for _, drain := range cs.drains.All() {
 		if drain.coversPool(pool) {
--- a/internal/placement/drain_check.go
+++ b/internal/placement/drain_check.go
@@ -8,21 +8,21 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// Misfit is a job for whose tasks a drain would leave too little capacity.
+// Misfit is a job whose tasks would not find enough capacity after a drain.
 type Misfit struct {
 	Job   string
-	Tasks int    // without capacity
-	Why   string // what is missing, for operators
+	Tasks int    // tasks without capacity
+	Why   string // the reason, for operators
 }
 
-// DrainCheck returns how many machines a drain would cover, and the jobs for whose tasks it would leave too little
-// capacity. rentable reports whether more machines of a pool can be launched. Nothing is changed.
-func (cs *ClusterState) DrainCheck(drain *Drain, now time.Time, rentable func(pool model.Pool, spot bool) bool) (covered int, misfits []Misfit) {
-	cs.withReadOnly(func() { covered, misfits = cs.drainCheck(drain, now, rentable) })
+// DrainCheck returns how many machines a drain would cover, and the jobs whose tasks would not find enough capacity
+// after it. canLaunch reports whether more machines of a pool can be launched. The cluster state isn't changed.
+func (cs *ClusterState) DrainCheck(drain *Drain, now time.Time, canLaunch func(pool model.Pool, spot bool) bool) (covered int, misfits []Misfit) {
+	cs.withReadOnly(func() { covered, misfits = cs.drainCheck(drain, now, canLaunch) })
 	return covered, misfits
 }
 
-func (cs *ClusterState) drainCheck(drain *Drain, now time.Time, rentable func(pool model.Pool, spot bool) bool) (covered int, misfits []Misfit) {
+func (cs *ClusterState) drainCheck(drain *Drain, now time.Time, canLaunch func(pool model.Pool, spot bool) bool) (covered int, misfits []Misfit) {
 	capacity := cs.newFreeCapacity(now, nil)
 	for pool, all := range capacity.byPool {
 		capacity.byPool[pool] = slices.DeleteFunc(all, func(on *machineCapacity) bool { return drain.covers(on.machine.Name, on.machine.Pool) })
@@ -33,16 +33,16 @@
 		}
 	}
 	for _, job := range cs.jobs.All() {
-		if misfit, found := cs.misfitOf(job, drain, capacity, rentable); found {
+		if misfit, found := cs.misfitOf(job, drain, capacity, canLaunch); found {
 			misfits = append(misfits, misfit)
 		}
 	}
 	return covered, misfits
 }
 
-// misfitOf checks one job against a drain, and takes the capacity that its displaced tasks need from what is free on
-// the other machines.
-func (cs *ClusterState) misfitOf(job *Job, drain *Drain, capacity *freeCapacity, rentable func(pool model.Pool, spot bool) bool) (misfit Misfit, found bool) {
+// misfitOf checks one job against a drain, and allocates free capacity of the other machines to the tasks that the
+// drain would displace.
+func (cs *ClusterState) misfitOf(job *Job, drain *Drain, capacity *freeCapacity, canLaunch func(pool model.Pool, spot bool) bool) (misfit Misfit, found bool) {
 	displaced := drain.tasksOf(job)
 	waiting := job.Unplaced() > 0
 	if job.Cancelled || (displaced == 0 && !waiting) {
@@ -57,7 +57,7 @@
 		return Misfit{}, false
 	}
 	for _, pool := range remaining {
-		if rentable(pool, false) || (job.Spec.Spot && rentable(pool, true)) {
+		if canLaunch(pool, false) || (job.Spec.Spot && canLaunch(pool, true)) {
 			return Misfit{}, false
 		}
 	}
@@ -65,7 +65,7 @@
 	return Misfit{Job: job.Spec.ID, Tasks: missing, Why: why}, true
 }
 
-// tasksOf counts a job's tasks on machines that the drain covers.
+// tasksOf returns the number of a job's tasks on machines that the drain covers.
 func (d *Drain) tasksOf(job *Job) int {
 	n := 0
 	for _, task := range job.bound.All() {
@@ -76,7 +76,7 @@
 	return n
 }
 
-// remainingPools returns the pools that the drain doesn't cover as a whole.
+// remainingPools returns the pools of which the drain doesn't cover every machine.
 func (d *Drain) remainingPools(pools []model.Pool) []model.Pool {
 	var remaining []model.Pool
 	for _, pool := range pools {
--- a/internal/placement/drain_rows.go
+++ b/internal/placement/drain_rows.go
@@ -26,13 +26,13 @@
 	return row
 }
 
-// drainProgress is what a drain's row is computed from.
+// drainProgress accumulates the data from which a drain's row is computed.
 type drainProgress struct {
 	drain       *Drain
 	row         *operatorspb.Drain
-	gangs       []*Job        // with members on drained machines
-	last        time.Duration // until the last task has ended, as estimated
-	predictable bool          // that estimate can be made
+	gangs       []*Job        // gangs with members on drained machines
+	last        time.Duration // estimated time until the last task has ended
+	predictable bool          // the time until the last task has ended can be estimated
 }
 
 func (cs *ClusterState) drainRow(drain *Drain, now time.Time) *operatorspb.Drain {
@@ -57,7 +57,7 @@
 	}
 	row := progress.row
 	switch {
-	case !cs.complete: // there may be machines that have not been heard of yet
+	case !cs.complete: // some machines may not have reported yet
 	case row.Machines == 0 && drain.Scope == NodeScope:
 		row.State = "gone"
 	case row.Empty == row.Machines:
@@ -83,7 +83,7 @@
 	}
 }
 
-// addTask takes a task into account whose end the drain waits for.
+// addTask adds a task that must end before the drain is done.
 func (p *drainProgress) addTask(task *Task, now time.Time) {
 	switch {
 	case task.job.Spec.Shape == model.Gang && !slices.Contains(p.gangs, task.job):
@@ -100,7 +100,7 @@
 	p.last = max(p.last, remaining)
 }
 
-// addGang adds a gang with members on drained machines.
+// addGang adds the row of a gang with members on drained machines.
 func (p *drainProgress) addGang(job *Job, move gangMove) {
 	p.row.Gangs = append(p.row.Gangs, &operatorspb.Gang{
 		Job:    job.Spec.ID,
@@ -111,7 +111,7 @@
 	p.predictable = p.predictable && move.step != gangAwaitCapacity
 }
 
-// text tells operators what becomes of a gang that leaves drained machines.
+// text describes to operators what happens to a gang that has members on drained machines.
 func (s gangMove) text(j *Job) string {
 	switch s.step {
 	case gangStopping:
@@ -128,7 +128,7 @@
 	return "runs to its end"
 }
 
-// capacityText tells operators how many of a gang's members have capacity elsewhere.
+// capacityText describes to operators for how many of a gang's members other machines have capacity.
 func (s gangMove) capacityText(j *Job) string {
 	if n := j.bound.Len(); s.placeable < n {
 		return countOf(s.placeable, n) + " pieces have room elsewhere: it goes on until all have"
--- a/internal/placement/drain_steps.go
+++ b/internal/placement/drain_steps.go
@@ -8,27 +8,28 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// drainStep is one step of all drains.
+// drainStep is one pass over the tasks on all drained machines.
 type drainStep struct {
 	cs       *ClusterState
 	now      time.Time
-	gangs    []*Job        // those with a member on a drained machine
-	services []*Job        // those whose replicas were tried to be moved
-	capacity *freeCapacity // of the other machines; made when first needed
+	gangs    []*Job        // gangs with a member on a drained machine
+	services []*Job        // services for whose replicas other capacity was searched
+	capacity *freeCapacity // free capacity of the other machines; computed on first use
 }
 
-// advanceDrains takes the next step with every task on drained machines.
+// advanceDrains stops the tasks on drained machines that are to be stopped now.
 //
-// A task that has not started is stopped: nothing is lost, and it starts elsewhere. One
-// that checkpoints is stopped with the time for it, and continues elsewhere. One that does not
-// runs to its end or the deadline. A replica never ends, so it moves as soon as there is
-// capacity elsewhere, or at the deadline. A gang moves as a whole: it has not started while one of its
-// members has not; it runs to its end, or is stopped at the deadline once there is capacity
-// elsewhere for all members, which is then reserved for it.
+//   - A task that has not started is stopped at once: no work is lost, and it starts elsewhere.
+//   - A task that checkpoints is stopped with enough grace to write a checkpoint, and continues elsewhere.
+//   - A task that doesn't checkpoint runs to its end or until the deadline.
+//   - A replica of a service never ends by itself. It is stopped as soon as other machines have capacity for it, or
+//     at the deadline.
+//   - A gang moves as a whole. It is stopped at once if none of its members runs yet. Otherwise it runs to its end, or
+//     it is stopped after the deadline as soon as other machines have capacity for all of its members, which is then
+//     reserved for it. With Force it is stopped at the deadline in any case.
 //
-// Guard: a gang's members on other machines are stopped together with those on drained ones. Left
-// running, they notice that members are missing, and the gang loses what it did since its
-// last checkpoint.
+// Guard: a gang's members on other machines are stopped together with those on drained machines. If they were left
+// running, they would notice that members are missing, and the gang would lose its work since the last checkpoint.
 func (cs *ClusterState) advanceDrains(now time.Time) {
 	if !cs.complete || cs.drains.Len() == 0 {
 		return
@@ -45,7 +46,8 @@
 	}
 }
 
-// advanceMachine stops the tasks of a drained machine that are to be stopped now, and collects the gangs on it.
+// advanceMachine stops those tasks of a drained machine that are to be stopped now, and collects the gangs that have
+// members on it.
 func (s *drainStep) advanceMachine(machine *Machine) {
 	overdue := !machine.drain.Deadline.IsZero() && !s.now.Before(machine.drain.Deadline)
 	for _, task := range machine.tasks.All() {
@@ -64,11 +66,11 @@
 	}
 }
 
-// replicaFitsElsewhere takes the capacity for one replica of a job from the free capacity of the other machines, and
-// reports whether there was enough.
+// replicaFitsElsewhere allocates free capacity of the other machines to one replica of a job, and reports whether
+// there was enough.
 //
-// Guard: capacity for replicas that wait already, or are being stopped, is not free for
-// another: all would be stopped, one after the other, for the same capacity.
+// Guard: capacity for replicas that are already waiting or being stopped is allocated first, as it isn't free for
+// another replica. Otherwise all replicas would be stopped, one after the other, for the same capacity.
 func (s *drainStep) replicaFitsElsewhere(job *Job) bool {
 	if s.capacity == nil {
 		s.capacity = s.cs.newFreeCapacity(s.now, nil)
@@ -86,13 +88,12 @@
 	return s.capacity.allocate(job, "", 1) == 0
 }
 
-// Undecided counts what may still bring a task to drained machines: starts that were
-// ordered before the drain and whose outcome is not known yet, and machines that have not
-// answered under our token.
+// Undecided returns the numbers of starts and machines through which tasks may still begin to run on drained
+// machines: starts that were ordered before the drain and whose outcome is not known yet, and machines that have not
+// reported under this leader's token.
 //
-// Guard: until a machine has seen our token, an earlier leader that is partitioned off together
-// with it may start tasks there, for as long as it may act without the state service
-// (simtest, seed 70071424).
+// Guard: until a machine has seen this leader's token, an earlier leader on the same side of a network partition may
+// start tasks there, for as long as it may act without the state service (simtest, seed 70071424).
 func (cs *ClusterState) Undecided(target string) (starts, machines int) {
 	drain := cs.drains.At(target)
 	if drain == nil {
--- a/internal/placement/explain_test.go
+++ b/internal/placement/explain_test.go
@@ -46,7 +46,7 @@
 	{CodeDrained, func(j *model.Job) { j.Zone = "a" }, func(b bench) { b.SetDrains([]*Drain{{Scope: ZoneScope, Name: "a"}}, at(1)) }, nil},
 	{CodeNoCapacity, nil, func(b bench) {
 		b.machine("m", "small", "a")
-		b.SetDrains([]*Drain{node("m", 0)}, at(1))
+		b.SetDrains([]*Drain{nodeDrain("m", 0)}, at(1))
 	}, nil},
 	{CodeNoZoneCapacity, func(j *model.Job) { j.Tasks, j.Shape = 3, model.Gang }, func(b bench) { b.machine("m", "small", "a") }, nil},
 	{CodeNoZoneCapacity, func(j *model.Job) { j.Tasks, j.Shape, j.Spread = 2, model.Service, true }, func(b bench) {
@@ -123,7 +123,7 @@
 	b.machine("recalled", "small", "a")
 	b.machines.At("recalled").Notice = time.Minute
 	b.complete = true
-	b.SetDrains([]*Drain{node("drained", 0)}, at(1))
+	b.SetDrains([]*Drain{nodeDrain("drained", 0)}, at(1))
 	for _, r := range b.Explain("x", at(2)).Rooms {
 		if r.Type != "small" || r.Zone != "a" {
 			continue
