--- a/internal/placement/blockers.go
+++ b/internal/placement/blockers.go
@@ -10,11 +10,11 @@
 	"github.com/marlwood/marlwood/internal/operators/operatorspb"
 )
 
-// maxBlockingTasks bounds the tasks that an answer about blockers names.
+// maxBlockingTasks is the maximum number of tasks that a blockers response lists.
 const maxBlockingTasks = 40
 
-// Blockers tells where a gang would start now, and which tasks hold the capacity that it lacks; nil if there is
-// no such job.
+// Blockers returns how many of a gang's members would find capacity now and in which zone, and the tasks that hold the
+// missing capacity; nil if there is no such job.
 func (cs *ClusterState) Blockers(id string, now time.Time) (out *operatorspb.BlockersResponse) {
 	if j := cs.jobs.At(id); j != nil {
 		cs.withReadOnly(func() { out = cs.blockers(j, now) })
@@ -23,7 +23,7 @@
 }
 
 func (cs *ClusterState) blockers(job *Job, now time.Time) *operatorspb.BlockersResponse {
-	cs.queue(now) // computes its queue key
+	cs.queue(now) // computes the job's queue key
 	response := &operatorspb.BlockersResponse{Job: job.Spec.ID, Pieces: uint32(max(0, job.Unplaced()))}
 	assignments, fits := cs.capacityForTasks(job, max(0, job.Unplaced()), nil, now)
 	response.Placed = uint32(fits)
@@ -41,8 +41,8 @@
 	return response
 }
 
-// blockingTasks lists the tasks on machines, in a zone if it is named, that a job may run on but that have no
-// capacity for it.
+// blockingTasks returns the rows of the tasks on machines that a job may run on but that have no capacity for it. If
+// zone isn't empty, only machines in that zone are considered.
 func (cs *ClusterState) blockingTasks(job *Job, zone string, now time.Time) []*operatorspb.Holder {
 	var rows []*operatorspb.Holder
 	priority, pools := job.preemptionPriority(now), cs.poolsFor(job)
@@ -59,7 +59,7 @@
 	return rows
 }
 
-// blockingRow is the row of a task that holds capacity.
+// blockingRow returns the row of a task that holds capacity.
 func blockingRow(task *Task, now time.Time) *operatorspb.Holder {
 	spec := task.job.Spec
 	row := &operatorspb.Holder{
@@ -77,12 +77,13 @@
 	return row
 }
 
-// compareBlocking orders the tasks that may be preempted first, then those that end first.
+// compareBlocking orders tasks that may be preempted before others, and then by the time until they end.
 func compareBlocking(x, y *operatorspb.Holder) int {
 	return cmp.Or(cmp.Compare(trueFirst(x.MayStop), trueFirst(y.MayStop)), cmp.Compare(x.LeftS, y.LeftS))
 }
 
-// explainPreemption tells whether a task may be preempted for a job, and why not or what is lost.
+// explainPreemption reports whether a task may be preempted for a job, with the reason for operators, or the work that
+// would be lost.
 func (cs *ClusterState) explainPreemption(job *Job, task *Task, priority int, now time.Time) (bool, string) {
 	switch {
 	case task.stopping:
--- a/internal/placement/blockers_test.go
+++ b/internal/placement/blockers_test.go
@@ -6,8 +6,9 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// Blockers names the tasks that hold the capacity, and whether the rules allow preempting them.
-func TestBlockers(t *testing.T) {
+// Blockers lists the tasks that hold the missing capacity, and whether the rules allow preempting them. Those that may
+// be preempted come first.
+func TestBlockersListsTasksThatHoldCapacity(t *testing.T) {
 	b := newBench(t)
 	for id, p := range map[string]model.Priority{"low": model.Low, "same": model.High, "above": model.Production} {
 		b.job(id, func(j *model.Job) { j.Priority, j.Size.CPUs = p, 4 })
@@ -18,14 +19,14 @@
 	b.complete = true
 	out := b.Blockers("x", at(2))
 	if out.Pieces != 2 || out.Placed != 1 || len(out.Holders) != 3 {
-		t.Fatalf("%v", out)
+		t.Fatalf("got %v, want 2 members, 1 placeable, 3 blocking tasks", out)
 	}
 	for _, h := range out.Holders {
 		if may := h.Task == "low/0"; h.MayStop != may || h.Why == "" {
-			t.Errorf("%v", h)
+			t.Errorf("only low/0 may be preempted, and each row needs a reason: got %v", h)
 		}
 	}
 	if out.Holders[0].Task != "low/0" {
-		t.Errorf("first is %v", out.Holders[0])
+		t.Errorf("the first row is %v, want low/0", out.Holders[0])
 	}
 }
--- a/internal/placement/explain.go
+++ b/internal/placement/explain.go
@@ -12,34 +12,34 @@
 	"github.com/marlwood/marlwood/internal/operators/operatorspb"
 )
 
-// The codes of reasons why a job's tasks are not started. They are part of the interface to operators and never
-// change their meaning.
+// The codes of the reasons why a job's tasks are not started. They are part of the interface to operators: a code
+// never changes its meaning.
 const (
-	CodeRunning         = "RUNNING"         // all of its tasks are placed
-	CodeCancelled       = "CANCELLED"       // it is cancelled; its tasks are being stopped
-	CodeTakeover        = "TAKEOVER"        // the leader is new and has not heard of every machine yet
-	CodeOrphanedTasks   = "UNKNOWN_TASKS"   // tasks of unknown jobs run: their teams' usage is not known
-	CodeDependencies    = "WAITS_FOR_JOBS"  // jobs that it depends on are not done
-	CodeTeamLimit       = "TEAM_LIMIT"      // its team's limit allows no more
-	CodePreviousAttempt = "PIECES_LEFT"     // tasks of its previous attempt are still there
-	CodeRetry           = "RETRY_LATER"     // a start failed; it is retried after a pause
-	CodeSuspectedPoison = "SUSPECT"         // it failed on several machines: one task at a time is tried
+	CodeRunning         = "RUNNING"         // all of the job's tasks are placed
+	CodeCancelled       = "CANCELLED"       // the job is cancelled; its tasks are being stopped
+	CodeTakeover        = "TAKEOVER"        // the leader is new, and not every machine has reported to it yet
+	CodeOrphanedTasks   = "UNKNOWN_TASKS"   // tasks of unknown jobs are running, so their teams' usage is unknown
+	CodeDependencies    = "WAITS_FOR_JOBS"  // jobs that the job depends on are not done
+	CodeTeamLimit       = "TEAM_LIMIT"      // the team's limit allows no more tasks
+	CodePreviousAttempt = "PIECES_LEFT"     // tasks of the previous attempt are still bound
+	CodeRetry           = "RETRY_LATER"     // a start failed and is retried after a delay
+	CodeSuspectedPoison = "SUSPECT"         // the job failed on several machines: one task at a time is tried
 	CodeNoPool          = "NO_KIND"         // no machine type is allowed and large enough
-	CodeDrained         = "DRAINED"         // all pools that it may run on are drained
+	CodeDrained         = "DRAINED"         // all pools that the job may run on are drained
 	CodeNoCapacity      = "NO_ROOM"         // no machine has capacity
-	CodeNoZoneCapacity  = "NO_ZONE_ROOM"    // there is capacity, but not for all of it in the zones where it must be
-	CodeBehind          = "QUEUED_BEHIND"   // jobs before it take the capacity
-	CodeProviderRefused = "CLOUD_REFUSED"   // the provider has no more machines in its pools
-	CodeBooting         = "BOOTING"         // machines for it boot
-	CodePreempting      = "ROOM_BEING_MADE" // tasks are being preempted for it
-	CodeStarting        = "STARTING"        // nothing holds it back: it starts with the next rounds
+	CodeNoZoneCapacity  = "NO_ZONE_ROOM"    // there is capacity, but not enough in the zones where the tasks must run
+	CodeBehind          = "QUEUED_BEHIND"   // jobs ahead in the queue take the capacity
+	CodeProviderRefused = "CLOUD_REFUSED"   // the provider has no more machines in the job's pools
+	CodeBooting         = "BOOTING"         // machines for the job are booting
+	CodePreempting      = "ROOM_BEING_MADE" // tasks are being preempted for the job
+	CodeStarting        = "STARTING"        // nothing holds the job back: it starts in the next rounds
 )
 
-// maxJobsAhead is how many of the jobs before a job are named.
+// maxJobsAhead is the maximum number of jobs ahead in the queue that are named.
 const maxJobsAhead = 5
 
-// Explain tells why a job's tasks are not all running, by the rules that place them; nil if there is no such
-// job. What only the provider or other jobs decide is left to the caller.
+// Explain returns the reasons why a job's tasks are not all running, by the rules that place them; nil if there is no
+// such job. The caller adds the reasons that lie with the provider or with other jobs.
 func (cs *ClusterState) Explain(id string, now time.Time) (out *operatorspb.ExplainResponse) {
 	if j := cs.jobs.At(id); j != nil {
 		cs.withReadOnly(func() { out = cs.explain(j, now) })
@@ -79,12 +79,12 @@
 		explained.behind(queue[:position])
 	}
 	explained.starting()
-	explained.hope()
+	explained.expectedRelease()
 	return explained.response
 }
 
-// explanation collects the reasons why a job's tasks are not all running. It has a method for each code, which
-// adds the reason if it applies.
+// explanation collects the reasons why a job's tasks are not all running. Its method for a code adds that reason if it
+// applies.
 type explanation struct {
 	cluster  *ClusterState
 	job      *Job
@@ -93,7 +93,7 @@
 	response *operatorspb.ExplainResponse
 }
 
-// add adds a reason; until is zero and names is nil if there are none.
+// add adds a reason. A zero until means that no end is known; names may be nil.
 func (e *explanation) add(code string, until time.Time, names []string, format string, args ...any) {
 	e.response.Reasons = append(e.response.Reasons, &operatorspb.Reason{
 		Code:        code,
@@ -164,7 +164,7 @@
 		team.Name, used.CPUs, team.Limit.CPUs, requested.CPUs, team.Guarantee.CPUs)
 }
 
-// noPool tells why the job may run on no pool: its pools are drained, or it has none.
+// noPool adds the reason why no pool is left for the job: all of its pools are drained, or it has none.
 func (e *explanation) noPool() {
 	if len(e.pools) > 0 {
 		return
@@ -190,7 +190,8 @@
 	}
 }
 
-// noCapacity tells that no machine has capacity or, where some have, that it is not where the job must be.
+// noCapacity adds that no machine has capacity, or that the machines with capacity are not in the zones where the
+// job's tasks must run.
 func (e *explanation) noCapacity() {
 	fits := 0
 	for _, row := range e.response.Rooms {
@@ -226,12 +227,12 @@
 	e.add(CodeNoZoneCapacity, time.Time{}, nil, "it starts whole or not at all: %s pieces find room now%s", countOf(n, job.Unplaced()), where)
 }
 
-// fitsInZone tells that a pool has capacity in a zone that the job's other tasks allow.
+// fitsInZone reports whether a pool has capacity and its zone is allowed by the job's other tasks.
 func (e *explanation) fitsInZone(row *operatorspb.Room) bool {
 	return row.Fits > 0 && e.job.zoneAllows(row.Zone)
 }
 
-// behind names the first of the jobs that are ahead in the queue.
+// behind adds that other jobs are ahead in the queue, and names the first of them.
 func (e *explanation) behind(ahead []*Job) {
 	var names []string
 	for _, job := range ahead[:min(len(ahead), maxJobsAhead)] {
@@ -246,14 +247,14 @@
 	}
 }
 
-// hope adds when capacity is next released for the job, as estimated.
-func (e *explanation) hope() {
+// expectedRelease adds the estimated time at which capacity is next released for the job.
+func (e *explanation) expectedRelease() {
 	if end, what := e.cluster.nextRelease(e.job, e.pools, e.now); !end.IsZero() {
 		e.response.Hopes = append(e.response.Hopes, &operatorspb.Hope{Text: what, AtUnixMs: unixMS(end)})
 	}
 }
 
-// machineNames names the machines that a job's tasks are bound to.
+// machineNames returns the sorted names of the machines that the job's tasks are bound to.
 func (j *Job) machineNames() (names []string) {
 	for _, t := range j.bound.All() {
 		if !slices.Contains(names, t.machine.Name) {
@@ -264,7 +265,7 @@
 	return names
 }
 
-// orderReason tells why one job is ahead of another in the queue, by the queue's own order.
+// orderReason returns the text for why one job is ahead of another in the queue. It follows the order of the queue.
 func orderReason(ahead, behind *Job) string {
 	id := ahead.Spec.ID
 	switch {
@@ -281,10 +282,10 @@
 // compareJobIDs orders jobs by their IDs.
 func compareJobIDs(x, y *Job) int { return cmp.Compare(x.Spec.ID, y.Spec.ID) }
 
-// countOf is the text for n of a total.
+// countOf returns the text for n of a total.
 func countOf(n, total int) string { return strconv.Itoa(n) + " of " + strconv.Itoa(total) }
 
-// sizeText is the text for a size, without the resources that it has none of.
+// sizeText returns the text for a size. Resources of which the size has none are left out.
 func sizeText(s model.Size) string {
 	var parts []string
 	for _, resource := range []struct {
--- a/internal/placement/explain_capacity.go
+++ b/internal/placement/explain_capacity.go
@@ -9,7 +9,8 @@
 	"github.com/marlwood/marlwood/internal/operators/operatorspb"
 )
 
-// explainCapacity tells what each pool has for a job's tasks, by the rules that choose a machine.
+// explainCapacity returns a row for each pool with its machines' capacity for a job's tasks, by the rules that choose
+// a machine.
 func (cs *ClusterState) explainCapacity(job *Job, pools []model.Pool, now time.Time) (rows []*operatorspb.Room) {
 	byPool := map[model.Pool]*operatorspb.Room{}
 	for _, pool := range pools {
@@ -34,7 +35,7 @@
 	return rows
 }
 
-// countCapacity counts a machine in its pool's row by what it has for a job's tasks, or why it has nothing.
+// countCapacity adds a machine to its pool's row: the number of the job's tasks that fit, or the reason why none does.
 func (cs *ClusterState) countCapacity(row *operatorspb.Room, job *Job, machine *Machine, now time.Time) {
 	size := job.Spec.Size
 	unreserved := cs.types[machine.Pool.Type].Size.Sub(machine.load)
@@ -59,7 +60,8 @@
 	}
 }
 
-// reservedFor names the machines on which capacity is reserved for a job, and tells until when.
+// reservedFor returns the names of the machines on which capacity is reserved for a job, and when the last of these
+// reservations ends.
 func (cs *ClusterState) reservedFor(job *Job, now time.Time) (names []string, until time.Time) {
 	for name, machine := range cs.machines.All() {
 		if reservation := machine.reserved.At(job.Spec.ID); reservation.class == "" && reservation.until.After(now) {
@@ -70,7 +72,8 @@
 	return names, until
 }
 
-// nextRelease is when the task ends whose end first releases enough capacity for a task of a job, as estimated.
+// nextRelease returns the estimated time at which a task first ends and thereby releases enough capacity for a task of
+// a job, and a text that names the ending task. It returns a zero time if there is no such task.
 func (cs *ClusterState) nextRelease(job *Job, pools []model.Pool, now time.Time) (end time.Time, what string) {
 	soonest := time.Duration(math.MaxInt64)
 	for _, machine := range cs.machines.All() {
--- a/internal/placement/explain_test.go
+++ b/internal/placement/explain_test.go
@@ -11,12 +11,12 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// explainCases bring about each reason. The job that is explained is x.
+// explainCases has at least one case for each reason that Explain gives. The explained job is x.
 var explainCases = []struct {
-	code    string             // the first that is given
-	job     func(j *model.Job) // changes x; nil: nothing
+	code    string             // the expected first reason
+	job     func(j *model.Job) // changes the spec of x; may be nil
 	prepare func(b bench)
-	with    []string // codes that come with it
+	with    []string // further expected codes
 }{
 	{CodeRunning, nil, func(b bench) { b.machine("m", "small", "a", task("x", 0, 1, model.TaskRunning, "")) }, nil},
 	{CodeCancelled, func(j *model.Job) { j.Tasks = 2 }, func(b bench) {
@@ -69,8 +69,8 @@
 	}, nil},
 }
 
-// Each reason is brought about, and is the first that is given. A query changes nothing.
-func TestExplain(t *testing.T) {
+// Explain gives each reason first in a state to which it applies, and queries don't change the cluster state.
+func TestExplainGivesEachReason(t *testing.T) {
 	for _, c := range explainCases {
 		b := newBench(t)
 		b.job("x", c.job)
@@ -88,11 +88,11 @@
 			codes = append(codes, r.Code)
 		}
 		if len(codes) == 0 || codes[0] != c.code {
-			t.Errorf("%s: %v", c.code, response.Reasons)
+			t.Errorf("want reason %s first, got %v", c.code, response.Reasons)
 		}
 		for _, w := range c.with {
 			if !slices.Contains(codes, w) {
-				t.Errorf("%s: not with %s: %v", c.code, w, codes)
+				t.Errorf("%s: want reason %s as well, got %v", c.code, w, codes)
 			}
 		}
 		b.Blockers("x", at(2))
@@ -102,12 +102,12 @@
 		}
 	}
 	if b := newBench(t); b.Explain("x", at(1)) != nil || b.Blockers("x", at(1)) != nil {
-		t.Error("an unknown job is explained")
+		t.Error("a query for an unknown job got an answer")
 	}
 }
 
-// The row of each pool tells what its machines lack.
-func TestExplainCapacity(t *testing.T) {
+// The row of a pool counts its machines by what they lack for the job's tasks.
+func TestExplainCapacityCountsMachinesByReason(t *testing.T) {
 	b := newBench(t)
 	b.job("o", func(j *model.Job) { j.Tasks = 9 })
 	b.job("x", func(j *model.Job) { j.Class, j.Size = "c", model.Size{CPUs: 2, MemoryGB: 8} })
@@ -129,13 +129,12 @@
 			continue
 		}
 		if r.Machines != 7 || r.Fits != 2 || r.LackCpus != 1 || r.LackMemory != 1 || r.Kept != 1 || r.Drained != 1 || r.Retiring != 1 || r.Out != 1 {
-			t.Errorf("%v", r)
+			t.Errorf("wrong counts in the row of small in zone a: %v", r)
 		}
 	}
 }
 
-// sameState compares two snapshots of a cluster state, whose times and orders are the same if nothing was decided
-// in between.
+// sameState reports whether two snapshots of a cluster state are equal. They are if nothing was decided between them.
 func sameState(x, y *State) bool {
 	for _, s := range []*State{x, y} {
 		slices.SortFunc(s.Owners, func(x, y OwnerState) int {
--- a/internal/placement/operator_rows.go
+++ b/internal/placement/operator_rows.go
@@ -7,7 +7,7 @@
 	"github.com/marlwood/marlwood/internal/operators/operatorspb"
 )
 
-// unixMS is a time as operators' messages hold it; 0 for none.
+// unixMS returns a time in the format of messages to operators: Unix milliseconds, or 0 for the zero time.
 func unixMS(t time.Time) int64 {
 	if t.IsZero() {
 		return 0
@@ -15,14 +15,13 @@
 	return t.UnixMilli()
 }
 
-// PageRows is how many rows one answer to operators holds.
+// PageRows is the maximum number of rows in one response to operators.
 const PageRows = 500
 
-// withReadOnly answers a query.
+// withReadOnly runs a query without changing the cluster state.
 //
-// Guard: a query must not change later decisions. Computing the queue writes each job's queue key, and reading
-// free capacity deletes reservations that are over; a recording holds no queries, so its replay would decide
-// differently.
+// Guard: a query must not change later decisions. Computing the queue writes each job's queue key, and reading free
+// capacity deletes expired reservations. A recording contains no queries, so its replay would decide differently.
 func (cs *ClusterState) withReadOnly(answer func()) {
 	keys := make(map[*Job]queueKey, cs.jobs.Len())
 	for _, j := range cs.jobs.All() {
@@ -36,7 +35,7 @@
 	}
 }
 
-// jobRow is a job's row for operators.
+// jobRow returns a job's row for operators.
 func (cs *ClusterState) jobRow(job *Job, now time.Time) *operatorspb.Job {
 	spec := job.Spec
 	row := &operatorspb.Job{
@@ -66,7 +65,7 @@
 	return row
 }
 
-// stateText is a job's state as operators see it.
+// stateText returns the job's state for operators.
 func (j *Job) stateText() string {
 	switch {
 	case j.Cancelled:
@@ -79,7 +78,7 @@
 	return "running"
 }
 
-// queuePositions are the pending jobs' positions in the queue, from 1.
+// queuePositions returns the positions of the pending jobs in the queue, starting at 1.
 func (cs *ClusterState) queuePositions(now time.Time) map[*Job]int {
 	positions := map[*Job]int{}
 	for i, job := range cs.queue(now) {
@@ -88,7 +87,7 @@
 	return positions
 }
 
-// JobRows returns a page of the jobs after a name for operators.
+// JobRows returns for operators a page of the jobs whose IDs sort after the given one, and whether there are more.
 func (cs *ClusterState) JobRows(after string, now time.Time) (rows []*operatorspb.Job, more bool) {
 	var positions map[*Job]int
 	cs.withReadOnly(func() { positions = cs.queuePositions(now) })
@@ -106,7 +105,8 @@
 	return rows, false
 }
 
-// MachineRows returns a page of the machines after a name for operators.
+// MachineRows returns for operators a page of the machines whose names sort after the given one, and whether there are
+// more.
 func (cs *ClusterState) MachineRows(after string, now time.Time) (rows []*operatorspb.Node, more bool) {
 	for name, machine := range cs.machines.All() {
 		if name <= after {
@@ -120,7 +120,7 @@
 	return rows, false
 }
 
-// machineRow is a machine's row for operators.
+// machineRow returns a machine's row for operators.
 func (cs *ClusterState) machineRow(machine *Machine, now time.Time) *operatorspb.Node {
 	size := cs.types[machine.Pool.Type].Size
 	row := &operatorspb.Node{
@@ -151,7 +151,7 @@
 	return row
 }
 
-// TeamRows returns the teams that the settings name for operators.
+// TeamRows returns for operators the rows of the teams that are named in the settings.
 func (cs *ClusterState) TeamRows() (rows []*operatorspb.Team) {
 	teams := model.NewTable[string, *operatorspb.Team]()
 	for name, team := range cs.teams {
--- a/internal/placement/operator_rows_test.go
+++ b/internal/placement/operator_rows_test.go
@@ -8,9 +8,9 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// clusterBench is a cluster state at the size of a large cluster: every machine half full, pending jobs of every
-// shape.
-func clusterBench(machines, jobs int) bench {
+// largeCluster returns the state of a large cluster whose machines are half full and whose pending jobs are arrays and
+// gangs.
+func largeCluster(machines, jobs int) bench {
 	b := newBench(nil)
 	b.job("runs", func(j *model.Job) { j.Tasks, j.Estimate = 4*machines, time.Minute })
 	for i := range machines {
@@ -28,12 +28,12 @@
 	return b
 }
 
-// What a query of operators takes from the event loop, which a round waits for: no more than 20 ms at the size of
-// a large cluster.
-func BenchmarkQuestions(b *testing.B) {
+// Measures how long an operator's query occupies the event loop, for which a placement round has to wait. It should
+// take no more than 20 ms in a large cluster.
+func BenchmarkOperatorQueries(b *testing.B) {
 	for _, size := range [][2]int{{900, 200}, {3600, 800}} {
-		cluster := clusterBench(size[0], size[1])
-		for name, ask := range map[string]func(){
+		cluster := largeCluster(size[0], size[1])
+		for name, query := range map[string]func(){
 			"jobs":     func() { cluster.JobRows("", at(2)) },
 			"nodes":    func() { cluster.MachineRows("", at(2)) },
 			"teams":    func() { cluster.TeamRows() },
@@ -46,7 +46,7 @@
 		} {
 			b.Run(fmt.Sprintf("%s/%dmachines/%djobs", name, size[0], size[1]), func(b *testing.B) {
 				for b.Loop() {
-					ask()
+					query()
 				}
 			})
 		}
