--- a/internal/placement/snapshot.go
+++ b/internal/placement/snapshot.go
@@ -8,11 +8,11 @@
 	"github.com/marlwood/marlwood/internal/reservation"
 )
 
-// State is a copy of everything in a cluster state that its later decisions depend on, in a form that can be
-// stored. The options are not part of it.
+// State is a snapshot of everything in a cluster state that later decisions depend on, in a form that can be stored.
+// The options are not part of it.
 //
-// State and the types in it are encoded under the names of their fields, in their order: both stay as they
-// are, also where a term has changed since. Comments name today's terms.
+// State and the types in it are encoded under the names of their fields and in the order of the fields, so neither may
+// change. Where the cluster state uses another name for a field, a comment gives that name.
 type State struct {
 	Token     uint64
 	Complete  bool
@@ -32,11 +32,11 @@
 	Jobs     []JobState
 	Machines []MachineState
 	Tasks    []TaskState
-	Out      map[string][][]byte  // orders by member
-	Gone     map[string]time.Time // terminated machines
+	Out      map[string][][]byte  // outbox: encoded orders by member
+	Gone     map[string]time.Time // terminated: when a machine was terminated
 	Classes  []ClassState
 
-	Limits    map[string]model.Size // where they differ from the settings
+	Limits    map[string]model.Size // teams' limits that differ from the settings
 	Use       map[string]UseState
 	Urgencies map[string]InheritedPriority
 	Coming    []JobState // upcoming
@@ -48,13 +48,13 @@
 	Heard  map[string]time.Time // lastAnswer
 }
 
-// OwnerState is a pool and the member that owns it.
+// OwnerState is the snapshot of a pool and the member that owns it.
 type OwnerState struct {
 	Kind   model.Pool
 	Member string
 }
 
-// JobState is a Job without its tasks.
+// JobState is the snapshot of a Job without its tasks.
 type JobState struct {
 	Spec      *model.Job
 	Accepted  time.Time
@@ -105,7 +105,7 @@
 	Bulky       bool // oversized
 }
 
-// MachineState is a Machine without its tasks.
+// MachineState is the snapshot of a Machine without its tasks.
 type MachineState struct {
 	Name  string
 	Addr  string
@@ -150,20 +150,20 @@
 	Reserved []ReservationState
 }
 
-// ImageState is an image in a machine's cache.
+// ImageState is the snapshot of an image in a machine's cache.
 type ImageState struct {
 	Name string
 	GB   float64
 }
 
-// FailureState is what a job's failures on a machine count for; see failureRecord.
+// FailureState is the snapshot of a failureRecord: a job's failures on a machine.
 type FailureState struct {
 	Fails int
 	Waves int
 	Last  time.Time
 }
 
-// ReservationState is capacity reserved on a machine for a job or a class.
+// ReservationState is the snapshot of capacity that is reserved on a machine for a job or a class.
 type ReservationState struct {
 	Name  string
 	Class string
@@ -172,7 +172,7 @@
 	Until time.Time
 }
 
-// TaskState is a bound Task.
+// TaskState is the snapshot of a bound Task.
 type TaskState struct {
 	Job      string
 	Index    int
@@ -190,7 +190,7 @@
 	Claimed  bool      // heldByClaim
 }
 
-// ClassState is what was seen of a class. Its last job may be finished.
+// ClassState is the snapshot of the arrivals of a class's jobs. Its last job may be finished.
 type ClassState struct {
 	Name     string
 	Last     JobState
@@ -198,19 +198,19 @@
 	Short    int
 }
 
-// ArrivalState is the arrival of a job of a class.
+// ArrivalState is the snapshot of the arrival of a job of a class.
 type ArrivalState struct {
 	At    time.Time
 	Tasks int
 }
 
-// UseState is what a team's tasks take.
+// UseState is the snapshot of a team's usage: the total size and number of its bound tasks.
 type UseState struct {
 	Size  model.Size
 	Tasks int
 }
 
-// PlanState is a job's part in the current round.
+// PlanState is the snapshot of a plannedJob: a job's part in the current round.
 type PlanState struct {
 	Job   string
 	Tasks []int
@@ -218,13 +218,13 @@
 	Want  uint32
 }
 
-// JobWriteState is a JobWrite under way.
+// JobWriteState is the snapshot of a JobWrite that has not completed.
 type JobWriteState struct {
 	Save JobWrite
 	Snap []uint64 // finishedTasks
 }
 
-// Export copies the write.
+// Export returns a snapshot of the write.
 func (w *JobWrite) Export() JobWriteState {
 	state := JobWriteState{Save: *w}
 	if w.finishedTasks != nil {
@@ -233,7 +233,7 @@
 	return state
 }
 
-// Import restores the write.
+// Import returns the write that the snapshot was taken of.
 func (s JobWriteState) Import() *JobWrite {
 	write := s.Save
 	if s.Snap != nil {
--- a/internal/placement/snapshot_export.go
+++ b/internal/placement/snapshot_export.go
@@ -9,7 +9,8 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// Export copies the cluster state. What is exported must not be changed.
+// Export returns a snapshot of the cluster state. The caller must not change the snapshot, which shares maps and slices
+// with the cluster state.
 func (cs *ClusterState) Export() (*State, error) {
 	state := &State{
 		Token:     cs.token,
@@ -62,7 +63,7 @@
 	return state, nil
 }
 
-// exportMachines copies the machines and their tasks.
+// exportMachines adds the machines and their tasks to a snapshot.
 func (cs *ClusterState) exportMachines(state *State) error {
 	for _, machine := range cs.machines.All() {
 		exported, err := machine.export()
@@ -77,7 +78,7 @@
 	return nil
 }
 
-// exportOrders copies the orders that no member has acknowledged.
+// exportOrders adds the unacknowledged orders to a snapshot.
 func (cs *ClusterState) exportOrders(state *State) error {
 	for member, orders := range cs.outbox {
 		for _, order := range orders {
@@ -91,7 +92,7 @@
 	return nil
 }
 
-// exportClasses copies the arrivals of each class.
+// exportClasses adds the arrivals of each class to a snapshot.
 func (cs *ClusterState) exportClasses(state *State) {
 	for name, class := range cs.classes.All() {
 		exported := ClassState{Name: name, Last: class.lastJob.export(), Short: class.missingSlots}
@@ -102,7 +103,7 @@
 	}
 }
 
-// exportTeams copies what teams' tasks take, and the limits that differ from the settings.
+// exportTeams adds the usage of each team, and the limits that differ from the settings, to a snapshot.
 func (cs *ClusterState) exportTeams(state *State) {
 	for name, usage := range cs.teamUsages {
 		state.Use[name] = UseState{Size: usage.size, Tasks: usage.tasks}
@@ -114,7 +115,7 @@
 	}
 }
 
-// export copies a bound task.
+// export returns the snapshot of a bound task.
 func (t *Task) export() TaskState {
 	return TaskState{
 		Job:      t.job.Spec.ID,
@@ -134,7 +135,7 @@
 	}
 }
 
-// export copies a job.
+// export returns the snapshot of a job without its tasks.
 func (j *Job) export() JobState {
 	state := JobState{
 		Spec:            j.Spec,
@@ -189,7 +190,7 @@
 	return state
 }
 
-// export copies a machine without its tasks.
+// export returns the snapshot of a machine without its tasks.
 func (m *Machine) export() (MachineState, error) {
 	state := MachineState{
 		Name:      m.Name,
--- a/internal/placement/snapshot_import.go
+++ b/internal/placement/snapshot_import.go
@@ -10,7 +10,7 @@
 	"github.com/marlwood/marlwood/internal/peers/peerspb"
 )
 
-// Import makes a cluster state that decides like the one that was exported.
+// Import returns a cluster state that makes the same decisions as the exported one.
 func Import(opt Options, teams map[string]model.Team, state *State) (*ClusterState, error) {
 	cs := NewClusterState(opt, state.Token, teams, state.Types)
 	cs.complete, cs.splitParts, cs.maxPartsAccepted, cs.orderID = state.Complete, state.Split, state.FewParts, state.OrderID
@@ -23,7 +23,7 @@
 		cs.ledger.Import(state.Lately)
 	}
 	cs.importTeams(state)
-	cs.poolsGeneration = 1 // above that of all jobs, whose pools have not been computed
+	cs.poolsGeneration = 1 // higher than the generation of any job, so that the jobs' pools are computed
 	for _, owner := range state.Owners {
 		cs.owners[owner.Kind] = owner.Member
 	}
@@ -47,14 +47,14 @@
 		cs.upcoming = append(cs.upcoming, cs.importJob(job))
 	}
 	for _, plan := range state.Plan {
-		if job := cs.jobs.At(plan.Job); job != nil { // else the round would skip it
+		if job := cs.jobs.At(plan.Job); job != nil { // without a job the round would skip the entry
 			cs.roundPlan = append(cs.roundPlan, &plannedJob{job: job, tasks: plan.Tasks, fullScan: plan.Scan, requestID: plan.Want})
 		}
 	}
 	return cs, nil
 }
 
-// importTeams restores the teams' limits, and then what their tasks take.
+// importTeams restores the teams' limits, and then their usage.
 func (cs *ClusterState) importTeams(state *State) {
 	cs.SetLimits(state.Limits)
 	for name, usage := range state.Use {
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// importTasks restores the bound tasks. Machines and teams have counted them already.
+// importTasks restores the bound tasks. The imported loads of machines and usages of teams include them already.
 func (cs *ClusterState) importTasks(states []TaskState) error {
 	for _, state := range states {
 		job, machine := cs.jobs.At(state.Job), cs.machines.At(state.Machine)
@@ -109,7 +109,7 @@
 	return nil
 }
 
-// importOrders restores the orders that no member has acknowledged.
+// importOrders restores the unacknowledged orders.
 func (cs *ClusterState) importOrders(outbox map[string][][]byte) error {
 	for member, texts := range outbox {
 		for _, text := range texts {
@@ -226,7 +226,7 @@
 	return machine, nil
 }
 
-// machineOf makes a machine from its state, without what refers to other objects.
+// machineOf returns a machine with the fields of its snapshot that don't refer to other objects.
 func (cs *ClusterState) machineOf(state MachineState) *Machine {
 	return &Machine{
 		Name:       state.Name,
--- a/internal/placement/usage.go
+++ b/internal/placement/usage.go
@@ -8,21 +8,21 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// Teams' usage (package accounting) is counted from the states of bound tasks, as machines report them.
+// Teams' usage (see package accounting) is computed from the states of bound tasks that machines report.
 
-// startAccounting starts to account teams' usage, if the options say so.
+// startAccounting starts to account teams' usage if the options enable it.
 func (cs *ClusterState) startAccounting() {
 	if cs.opt.Accounts && cs.ledger == nil {
 		cs.ledger = accounting.NewLedger()
 		for _, machine := range cs.machines.All() {
 			for _, task := range machine.tasks.All() {
-				task.accountedUntil = time.Time{} // it is counted from the next time on
+				task.accountedUntil = time.Time{} // its usage counts from the next countUsage on
 			}
 		}
 	}
 }
 
-// Usage counts what all tasks have used until now, and returns the ledger; nil if usage is not accounted.
+// Usage adds the usage of all tasks until now to the ledger and returns it; nil if usage is not accounted.
 func (cs *ClusterState) Usage(now time.Time) *accounting.Ledger {
 	if cs.ledger == nil {
 		return nil
@@ -35,12 +35,13 @@
 	return cs.ledger
 }
 
-// UsageMark returns up to when, and up to which attempt, usage has been counted. The next leader continues there.
+// UsageMark returns the watermark of the accounting: the time and the last attempt up to which usage has been counted.
+// The next leader continues from there.
 func (cs *ClusterState) UsageMark(now time.Time) accounting.Watermark {
 	return accounting.Watermark{AtMS: now.UnixMilli(), Attempt: cs.token<<20 + cs.attempts}
 }
 
-// LoadUsage restores the watermark that an earlier leader stored.
+// LoadUsage restores the usage watermark that an earlier leader stored.
 func (cs *ClusterState) LoadUsage(text []byte) {
 	var watermark accounting.Watermark
 	if len(text) == 0 || cs.ledger == nil {
@@ -53,13 +54,14 @@
 	cs.usageWatermark = watermark
 }
 
-// countUsage adds what a task has used since it was last counted, up to the last answer of its machine's owner.
-// Nothing is counted for a machine that misses its heartbeats: if the task turns out to run on, all of it is
-// counted then.
+// countUsage adds a task's usage since it was last counted, up to the last answer of its machine's owner. It counts
+// nothing while the machine misses heartbeats. If the task turns out to have kept running, all of that time is counted
+// then.
 //
-// Guard: a leader that no answer reached went on counting tasks that had ended long ago (simtest, seed
-// 230000037). So did one whose machine's agent restarted during an outage of the state service: its tasks stay
-// bound until a fresh token, for what they may do elsewhere, not because they run (simtest, seed 800035852).
+// Guard: without these limits, a leader that received no answers kept counting tasks that had ended long before
+// (simtest, seed 230000037). So did a leader while one of its machines' agents had restarted during an outage of the
+// state service: the tasks of such a machine stay bound until a new token because of what they may do elsewhere, not
+// because they are running (simtest, seed 800035852).
 func (cs *ClusterState) countUsage(task *Task, until time.Time) {
 	if cs.ledger == nil || task.machine.MissedHeartbeats || task.machine.StartOutcomeUnknown || task.machine.Phase != Current {
 		return
@@ -97,15 +99,16 @@
 	return x
 }
 
-// skipSilentTime skips the time for which a task was not counted because its machine was silent: the task ended
-// then, nobody knows when. Tasks of other machines are counted with every flush.
+// skipSilentTime skips the time in which a task was not counted because its machine did not report: the task ended at
+// an unknown moment of that time. Tasks of other machines are counted with every flush.
 func (cs *ClusterState) skipSilentTime(task *Task, now time.Time) {
 	if now.Sub(task.accountedUntil) > cs.opt.Flush+silenceTolerance {
 		task.accountedUntil = now
 	}
 }
 
-// silenceTolerance is how much longer than the time between two flushes a task may go uncounted.
+// silenceTolerance is how much longer than the interval between two flushes a task may go uncounted before
+// skipSilentTime skips that time.
 const silenceTolerance = 3 * time.Second
 
 // addUsage adds a task's usage of one kind to its team's account.
@@ -121,14 +124,14 @@
 	})
 }
 
-// accountAdopted starts to account a task that an earlier leader started: from when that leader last stored its
-// sums, if it had ordered the task by then. The clocks of two controllers may be apart by
-// twice what the settings say; that much is left out, so that nothing counts twice.
+// accountAdopted starts to account a task that an earlier leader started. If that leader had ordered the task before it
+// last stored its sums, the task's usage counts from the time of that watermark. The clocks of two controllers may
+// differ by twice the offset in the settings; that much time is left out, so that nothing is counted twice.
 //
-// Guard: a gang's attempt may have been ordered by a later leader than the one that numbered it, which
-// resumed its claim: its number doesn't show that it was ordered when the sums were stored. All of
-// the time since then was counted for members that had just started (simtest, seed 900080711). Of gangs no more
-// is counted than what a flush leaves open.
+// Guard: a leader that resumes a gang's claim may order an attempt that an earlier leader numbered. The attempt's number
+// then doesn't show that it had been ordered when the sums were stored, and all of the time since the watermark was
+// counted for members that had just started (simtest, seed 900080711). For gangs, no more time is counted than may pass
+// between two flushes.
 func (cs *ClusterState) accountAdopted(task *Task, now time.Time) {
 	if cs.ledger == nil {
 		return
@@ -144,20 +147,22 @@
 	task.accountedUntil = earlier(now, from)
 }
 
-// countWasted counts the work of a running task that must be repeated since it was not checkpointed.
+// countWasted counts the work that a running task has done since its last checkpoint and that must be repeated, unless
+// the work was checkpointed.
 func (cs *ClusterState) countWasted(task *Task, now time.Time, checkpointed bool) {
 	runs := task.state == model.TaskRunning || task.state == model.TaskSaving
 	if cs.ledger == nil || !runs || task.job.Spec.Shape == model.Service || checkpointed {
 		return
 	}
-	wasted := task.accountedUntil.Sub(task.stateSince) // what is counted as having run
+	wasted := task.accountedUntil.Sub(task.stateSince) // the time counted as running
 	if every := task.job.Spec.CheckpointEvery; every > 0 {
 		wasted %= every
 	}
 	cs.addUsage(task, accounting.Wasted, wasted, now)
 }
 
-// leastServed returns what a job's team used lately per CPU that it is guaranteed; 0 if ties are not fair.
+// leastServed returns the recent usage of a job's team in CPU seconds, per CPU of the team's guarantee. It returns 0 if
+// usage is not accounted or ties in the queue are not broken by it.
 func (cs *ClusterState) leastServed(job *Job, now time.Time) float64 {
 	if cs.ledger == nil || !cs.opt.FairTies {
 		return 0
--- a/internal/placement/usage_test.go
+++ b/internal/placement/usage_test.go
@@ -9,43 +9,43 @@
 	"github.com/marlwood/marlwood/internal/peers/peerspb"
 )
 
-// Of a machine that nobody is sure of nothing is counted, for its tasks may have ended when its worker
-// restarted. If they run on after all, all of the time is counted then.
-func TestDoubtIsNotCounted(t *testing.T) {
+// No usage is counted while a machine reports that the outcome of its starts is unknown: its tasks may have ended when
+// its worker restarted. If they turn out to have kept running, all of the time is counted then.
+func TestNoUsageWhileStartOutcomeUnknown(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		runs  bool // on, after the uncertainty
+		runs  bool // the tasks still run once the outcome is known
 		least float64
 		most  float64 // CPU seconds in the end
-	}{{"the tasks had ended", false, 10, 10}, {"they ran on", true, 84, 84}} {
+	}{{"the tasks had ended", false, 10, 10}, {"they kept running", true, 84, 84}} {
 		b := newBench(t)
 		b.opt.Accounts, b.opt.Flush = true, 10*time.Second
 		b.startAccounting()
 		b.job("j", nil)
 		run := func() float64 { return b.ledger.Team("free")[accounting.Run].CPUSeconds() }
-		say := func(s float64, unsure bool, tasks ...*peerspb.Task) {
+		reportMachine := func(s float64, unsure bool, tasks ...*peerspb.Task) {
 			b.MemberAnswered("n0", at(s))
 			b.UpdateMachine(at(s), "n0", &peerspb.Machine{Name: "m", Kind: &peerspb.Kind{Type: "small", Zone: "a"}, Phase: "current", NoticeMs: -1,
 				Unsure: unsure, Tasks: tasks}, 0, false)
 			b.Usage(at(s))
 		}
 		running := task("j", 0, 5<<20+1, model.TaskRunning, "")
-		say(0, false, running)
-		say(5, false, running)
+		reportMachine(0, false, running)
+		reportMachine(5, false, running)
 		if run() != 10 {
-			t.Fatalf("%s: %v CPU seconds after 5 s on 2 CPUs", c.name, run())
+			t.Fatalf("%s: %v CPU seconds after 5 s on 2 CPUs, want 10", c.name, run())
 		}
 		for s := 6.0; s <= 40; s++ {
-			say(s, true, running)
+			reportMachine(s, true, running)
 		}
 		if run() != 10 {
-			t.Errorf("%s: %v CPU seconds are counted while it is uncertain", c.name, run())
+			t.Errorf("%s: %v CPU seconds counted while the outcome is unknown, want 10", c.name, run())
 		}
 		b.TokenRenewed(6, at(41))
 		if c.runs {
-			say(42, false, running)
+			reportMachine(42, false, running)
 		} else {
-			say(42, false)
+			reportMachine(42, false)
 		}
 		if got := run(); got < c.least || got > c.most {
 			t.Errorf("%s: %v CPU seconds in the end", c.name, got)
@@ -53,19 +53,19 @@
 	}
 }
 
-// What an earlier leader had ordered when its sums were written is counted from then on; of a gang, whose
-// attempt a later leader may have ordered, no more than what a flush leaves open.
-func TestAdoptedUse(t *testing.T) {
+// Usage of a task that an earlier leader had ordered before it stored its sums is counted from that watermark on. The
+// attempt of a gang may have been ordered by a later leader, so no more than the time between two flushes is counted.
+func TestUsageOfTasksStartedByEarlierLeader(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		shape   model.Shape
 		attempt uint64
-		want    float64 // CPU seconds at 60 s, the watermark being of 10 s
+		want    float64 // CPU seconds at 60 s, with the watermark at 10 s
 	}{
 		{"ordered before the watermark", model.Array, 4<<20 + 1, 100},
-		{"ordered after it", model.Array, 4<<20 + 9, 0},
-		{"a gang's member, numbered before it", model.Gang, 4<<20 + 1, 26},
-		{"a gang's member, numbered after it", model.Gang, 4<<20 + 9, 0},
+		{"ordered after the watermark", model.Array, 4<<20 + 9, 0},
+		{"a gang's member, numbered before the watermark", model.Gang, 4<<20 + 1, 26},
+		{"a gang's member, numbered after the watermark", model.Gang, 4<<20 + 9, 0},
 	} {
 		b := newBench(t)
 		b.opt.Accounts, b.opt.Flush = true, 10*time.Second
