--- a/internal/placement/large_test.go
+++ b/internal/placement/large_test.go
@@ -9,8 +9,9 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// Marks of large arrays are split, saved a few at a time, and come back.
-func TestLargeArray(t *testing.T) {
+// The finished tasks of a large array are stored in several parts, only a few of them in one write, and are restored from
+// these parts.
+func TestFinishedTasksOfLargeArrayAreStoredInParts(t *testing.T) {
 	b := newBench(t)
 	b.job("x", func(j *model.Job) { j.Tasks = 300 })
 	j := b.jobs.At("x")
@@ -22,7 +23,7 @@
 	for i := range 3 {
 		for _, s := range b.DueWrites(at(float64(10*i)), time.Second, 2) {
 			if len(s.Parts) > 2 {
-				t.Errorf("%d parts at once", len(s.Parts))
+				t.Errorf("%d parts in one write, want at most 2", len(s.Parts))
 			}
 			rec = s.Record
 			for p, text := range s.Parts {
@@ -40,13 +41,13 @@
 		t.Fatal(err)
 	}
 	if got := again.jobs.At("x"); got.Finished() != 150 || !got.finished.Has(298) || got.finished.Has(299) {
-		t.Errorf("%d finished tasks came back", got.Finished())
+		t.Errorf("%d finished tasks restored, want 150, with task 298 and without task 299", got.Finished())
 	}
 }
 
-// A leader's work does not grow with tasks that are far from starting, and little
-// with jobs that wait.
-func TestWorkPerRound(t *testing.T) {
+// A leader's work per round doesn't grow with the pending tasks of a job, and grows little with the number of pending
+// jobs.
+func TestRoundCostWithManyPendingTasks(t *testing.T) {
 	full := func(jobs, tasks int) bench {
 		b := newBench(t)
 		b.opt.Horizon = 45 * time.Second
@@ -70,9 +71,9 @@
 	}
 	one, huge := work(full(1, 100)), work(full(1, 25000))
 	if huge > one+10 {
-		t.Errorf("25000 tasks cost %v allocations a round, 100 cost %v", huge, one)
+		t.Errorf("25000 pending tasks cost %v allocations per round, 100 cost %v", huge, one)
 	}
 	if many := work(full(400, 1)); many > one+400*4 {
-		t.Errorf("400 jobs cost %v allocations a round, one costs %v", many, one)
+		t.Errorf("400 pending jobs cost %v allocations per round, one costs %v", many, one)
 	}
 }
--- a/internal/placement/scale_in.go
+++ b/internal/placement/scale_in.go
@@ -9,12 +9,12 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// Consolidate chooses machines for scale-in: as many as the others could do without get no more tasks and are
-// returned when their last one ends. When work finds no capacity, machines that scale in are used again before
-// new ones are requested.
+// Consolidate chooses machines for scale-in: those that aren't needed for the present load and the spare capacity. They
+// get no more tasks and are returned when their last task ends. When there is unmet demand, machines that scale in are
+// used again before new ones are requested.
 //
-// It is an exception to the paper's rule for returning machines: preferring the lowest share in use leaves
-// every machine partly used and none idle.
+// It is an exception to the paper's rule for returning machines: placing on the machine with the lowest share in use
+// leaves every machine partly used and none idle.
 func (cs *ClusterState) Consolidate(now time.Time) {
 	if !cs.complete {
 		return
@@ -30,7 +30,7 @@
 		if machine.Phase != Current {
 			continue
 		}
-		// Tasks on machines that scale in count: others will follow them.
+		// Tasks on machines that scale in count as well: their successors will need capacity elsewhere.
 		size := cs.types[machine.Pool.Type].Size
 		load := cs.evictFrom(machine, waitForSpot)
 		used += load.Share(size) * size.CPUs
@@ -52,7 +52,7 @@
 	}
 }
 
-// compareForScaleIn orders the most expensive machine per CPU first, of equals the one least in use.
+// compareForScaleIn orders machines by descending price per CPU, and machines of equal price by ascending share in use.
 func (cs *ClusterState) compareForScaleIn(x, y *Machine) int {
 	return cmp.Or(
 		cmp.Compare(cs.price(y), cs.price(x)),
@@ -61,12 +61,13 @@
 	)
 }
 
-// evictFrom stops the tasks of jobs that wait for spot machines if an on-demand machine scales in, so that they
-// write checkpoints and continue elsewhere. It returns the machine's load without tasks of such jobs.
+// evictFrom stops the tasks of jobs that wait for spot machines if they run on an on-demand machine that scales in. The
+// tasks write checkpoints and continue elsewhere. It returns the load of an on-demand machine without the tasks of such
+// jobs, and the whole load of a spot machine.
 //
-// Guard: a long task decides how long its machine is kept. Tasks of six minutes without an objective once held
-// every machine of a cluster, a task here and a task there, for minutes after the work that the machines were
-// requested for.
+// Guard: without eviction a machine is kept until its longest task ends. Six-minute tasks without an objective, spread
+// over all machines of a cluster, kept every machine for minutes after the end of the work for which the machines had
+// been requested.
 func (cs *ClusterState) evictFrom(machine *Machine, waitForSpot map[*Job]bool) model.Size {
 	load := machine.load
 	for _, task := range machine.tasks.All() {
@@ -81,8 +82,8 @@
 	return load
 }
 
-// cancelScaleInForDemand uses machines that scale in again for work that finds no capacity, the cheapest first.
-// It returns the markets that have unmet demand, of which no machine is to scale in, and the demanded CPUs.
+// cancelScaleInForDemand cancels the scale-in of machines for unmet demand, the cheapest first. It returns the markets
+// that have unmet demand, in which no machine may be chosen for scale-in, and the demanded CPUs.
 func (cs *ClusterState) cancelScaleInForDemand(now time.Time) (demanded map[market]bool, cpus float64) {
 	scalingIn := cs.machinesScalingIn()
 	demanded = map[market]bool{}
@@ -104,7 +105,7 @@
 	return demanded, cpus
 }
 
-// cancelScaleInFor uses as many of the machines that scale in again as a demand needs.
+// cancelScaleInFor cancels the scale-in of as many machines as a demand needs.
 func (cs *ClusterState) cancelScaleInFor(demand UnmetDemand, scalingIn []*Machine, now time.Time) {
 	job := demand.job
 	left := demand.Tasks
@@ -125,7 +126,7 @@
 	}
 }
 
-// machinesScalingIn lists the machines that scale in and could be used again, the cheapest first.
+// machinesScalingIn returns the machines whose scale-in could be cancelled, the cheapest first.
 func (cs *ClusterState) machinesScalingIn() []*Machine {
 	var machines []*Machine
 	for _, machine := range cs.machines.All() {
--- a/internal/placement/scale_in_test.go
+++ b/internal/placement/scale_in_test.go
@@ -8,22 +8,21 @@
 	"github.com/marlwood/marlwood/internal/peers/peerspb"
 )
 
-// All machines that the rest can do without are let go at once, however many
-// there are, what work waits for is not, and they come back when work needs
-// them.
-func TestConsolidate(t *testing.T) {
+// All machines that aren't needed for the load and the spare capacity are chosen for scale-in at once, however many
+// they are. Pending work that can't run on them doesn't keep them; work that can run on them cancels their scale-in.
+func TestConsolidateChoosesUnneededMachines(t *testing.T) {
 	for _, c := range []struct {
 		name     string
-		machines int // of 4 CPUs
-		load     int // tasks of 2 CPUs that run
-		waiting  func(j *model.Job)
-		retiring int
+		machines int                // of 4 CPUs
+		load     int                // running tasks of 2 CPUs
+		pending  func(j *model.Job) // changes a pending job; nil: there is none
+		scaleIns int                // machines that scale in at the end
 	}{
-		{"idle ones", 40, 0, nil, 40},
-		{"all but the load and a fifth", 40, 16, nil, 30},
-		{"not when in use", 8, 16, nil, 0},
-		{"work waits for others only", 40, 16, func(j *model.Job) { j.Types = []string{"big"} }, 30},
-		{"work takes some back", 40, 16, func(j *model.Job) { j.Tasks, j.Size = 5, model.Size{CPUs: 4} }, 25},
+		{"idle machines", 40, 0, nil, 40},
+		{"all machines but those for the load and a fifth to spare", 40, 16, nil, 30},
+		{"no machines in use", 8, 16, nil, 0},
+		{"pending work for other types only", 40, 16, func(j *model.Job) { j.Types = []string{"big"} }, 30},
+		{"pending work cancels the scale-in of some", 40, 16, func(j *model.Job) { j.Tasks, j.Size = 5, model.Size{CPUs: 4} }, 25},
 	} {
 		b := newBench(t)
 		b.opt.Spare = 0.2
@@ -38,8 +37,8 @@
 		b.jobs.At("load").retryAt = at(100)
 		b.TryComplete()
 		b.Consolidate(at(1))
-		if c.waiting != nil {
-			b.job("w", c.waiting)
+		if c.pending != nil {
+			b.job("w", c.pending)
 			b.Consolidate(at(2))
 		}
 		got := 0
@@ -48,14 +47,14 @@
 				got++
 			}
 		}
-		if got != c.retiring {
-			t.Errorf("%s: %d retiring, want %d", c.name, got, c.retiring)
+		if got != c.scaleIns {
+			t.Errorf("%s: %d machines scale in, want %d", c.name, got, c.scaleIns)
 		}
 	}
 }
 
-// A long task without an objective keeps no on-demand machine: it is stopped there so that it writes a checkpoint,
-// and continues elsewhere.
+// A long task without an objective doesn't keep an on-demand machine from scaling in: it is stopped with grace for a
+// checkpoint, and continues elsewhere.
 func TestEvictionFromScaleIn(t *testing.T) {
 	for _, c := range []struct {
 		name    string
--- a/internal/placement/scale_test.go
+++ b/internal/placement/scale_test.go
@@ -10,9 +10,9 @@
 	"github.com/marlwood/marlwood/internal/peers/peerspb"
 )
 
-// cluster is a quiet cluster: so many machines, a quarter of which run a task of one of so
-// many jobs each.
-func cluster(t testing.TB, machines, jobs int) bench {
+// quietCluster returns a cluster state with a number of machines, a quarter of which run one task each, of a number of
+// jobs.
+func quietCluster(t testing.TB, machines, jobs int) bench {
 	b := newBench(t)
 	for i := range jobs {
 		b.job(fmt.Sprintf("job-%05d", i), func(j *model.Job) {
@@ -31,7 +31,7 @@
 	return b
 }
 
-// quietRound is what a leader does in a round and on a tick when nothing has changed.
+// quietRound does the leader's work of a round and a tick in which nothing has changed.
 func (b bench) quietRound(s float64) {
 	b.SampleRequests(at(s))
 	b.Place(at(s), nil)
@@ -46,27 +46,27 @@
 	}
 }
 
-// Sixteen times the machines make a quiet round no more expensive. Allocations are counted, not
-// time: they are the same on every machine.
-func TestQuietRoundsDoNotGrow(t *testing.T) {
+// A quiet round costs no more with sixteen times as many machines. The test counts allocations, not time, since
+// allocations don't depend on the computer that runs the test.
+func TestQuietRoundCostDoesNotGrowWithMachines(t *testing.T) {
 	cost := map[int]float64{}
 	for _, machines := range []int{1000, 16000} {
-		b := cluster(t, machines, 200)
+		b := quietCluster(t, machines, 200)
 		b.quietRound(10)
 		cost[machines] = testing.AllocsPerRun(20, func() { b.quietRound(11) })
 	}
 	t.Logf("%g allocations", cost[1000])
 	if cost[1000] > 6 {
-		t.Errorf("a quiet round takes %g allocations", cost[1000])
+		t.Errorf("a quiet round takes %g allocations with 1000 machines, want at most 6", cost[1000])
 	}
 	if cost[16000] >= 2*max(cost[1000], 1) {
-		t.Errorf("a quiet round takes %g allocations with 1000 machines, %g with 16000", cost[1000], cost[16000])
+		t.Errorf("a quiet round takes %g allocations with 1000 machines, %g with 16000, want less than twice as many", cost[1000], cost[16000])
 	}
 }
 
-// Whatever becomes of machines, those that do not count as unreconciled are reconciled, and the machines of pools are
-// counted right.
-func TestAside(t *testing.T) {
+// After every change of a machine, the set of unreconciled machines and the number of machines in each pool are the same
+// as when they are computed from all machines.
+func TestUnreconciledSetAndPoolCountsAreUpToDate(t *testing.T) {
 	b := newBench(t)
 	check := func(step string, want ...string) {
 		t.Helper()
@@ -78,36 +78,36 @@
 			}
 		}
 		if fmt.Sprint(unreconciled) != fmt.Sprint(want) || len(b.unreconciled) != len(want) || fmt.Sprint(pools) != fmt.Sprint(b.machinesInPool) {
-			t.Errorf("%s: unreconciled are %v (%d), not %v; pools %v, counted %v", step, unreconciled, len(b.unreconciled), want, pools, b.machinesInPool)
+			t.Errorf("%s: unreconciled machines are %v (set of %d), want %v; pools have %v machines, counted %v", step, unreconciled, len(b.unreconciled), want, pools, b.machinesInPool)
 		}
 		for _, name := range want {
 			if b.unreconciled[name] == nil {
-				t.Errorf("%s: %s is not among the unreconciled", step, name)
+				t.Errorf("%s: %s is not in the set of unreconciled machines", step, name)
 			}
 		}
 	}
 	b.AddMachine(MachineRecord{Name: "m0", Addr: "x:1", Pool: model.Pool{Type: "small", Zone: "a"}, Revision: 2}, at(0))
 	check("a machine record is read", "m0")
 	b.machine("m1", "small", "a")
-	check("a machine is up and has its record", "m0")
+	check("a machine is up and its record is stored", "m0")
 	b.machine("m2", "big", "b", task("nobody", 0, 3, model.TaskRunning, ""))
 	check("an orphaned task runs", "m0", "m2")
 	b.report(1, "m2", "current", 0)
-	check("it has exited", "m0")
+	check("the orphaned task has exited", "m0")
 	b.report(1, "m0", "current", 0)
-	check("the machine has answered")
+	check("the machine with a record has reported")
 	b.UpdateMachine(at(2), "n0", &peerspb.Machine{Name: "m1", Kind: &peerspb.Kind{Type: "small", Zone: "a"}, Phase: "current", NoticeMs: -1, Quiet: true}, 0, false)
-	check("its owner gets no heartbeats", "m1")
+	check("the owner of a machine gets no heartbeats", "m1")
 	b.report(3, "m1", "expired", 0)
-	check("its lease has expired", "m1")
+	check("the lease of the machine has expired", "m1")
 	b.ConfirmExpiries(at(5), at(5))
-	check("which is confirmed", "m1")
+	check("the expiry is confirmed", "m1")
 	b.report(6, "m1", "current", 0)
-	check("it is back without a record", "m1")
+	check("the machine is back without a record", "m1")
 	b.MachineRecorded("m1", 9)
-	check("its record is stored")
+	check("the record of the machine is stored")
 	b.TokenRenewed(6, at(7))
-	check("a fresh token", "m0", "m1", "m2")
+	check("a new token", "m0", "m1", "m2")
 	b.MachineTerminated("m2", at(8))
 	check("a machine is terminated", "m0", "m1")
 }
@@ -116,7 +116,7 @@
 	for _, jobs := range []int{200, 1000, 10000} {
 		for _, machines := range []int{1000, 4000, 16000} {
 			t.Run(fmt.Sprintf("machines=%d/jobs=%d", machines, jobs), func(t *testing.B) {
-				b := cluster(t, machines, jobs)
+				b := quietCluster(t, machines, jobs)
 				b.quietRound(10)
 				t.ReportAllocs()
 				for t.Loop() {
@@ -127,11 +127,11 @@
 	}
 }
 
-// What a leader does once a second to look after its machines.
+// Measures the leader's work of once a second that decides which machines to keep, to request and to return.
 func BenchmarkPlan(t *testing.B) {
 	for _, machines := range []int{1000, 4000, 16000} {
 		t.Run(fmt.Sprintf("machines=%d", machines), func(t *testing.B) {
-			b := cluster(t, machines, 200)
+			b := quietCluster(t, machines, 200)
 			t.ReportAllocs()
 			for t.Loop() {
 				b.ReconcileGangs(at(11))
@@ -144,26 +144,26 @@
 	}
 }
 
-// A takeover: all machines answer, then the state is complete.
+// Measures a takeover: all machines report, and the cluster state becomes complete.
 func BenchmarkTakeover(t *testing.B) {
 	for _, machines := range []int{1000, 4000, 16000} {
 		t.Run(fmt.Sprintf("machines=%d", machines), func(t *testing.B) {
 			t.ReportAllocs()
 			for t.Loop() {
-				cluster(t, machines, 200)
+				quietCluster(t, machines, 200)
 			}
 			t.ReportMetric(float64(t.Elapsed().Microseconds())/float64(t.N)/float64(machines), "µs/machine")
 		})
 	}
 }
 
-// Sixty-four tasks are placed, of a queue that finds capacity.
+// Measures a round that places sixty-four tasks of a queue for which there is capacity.
 func BenchmarkPlace(t *testing.B) {
 	for _, machines := range []int{1000, 4000, 16000} {
 		t.Run(fmt.Sprintf("machines=%d", machines), func(t *testing.B) {
-			b := cluster(t, machines, 200)
+			b := quietCluster(t, machines, 200)
 			b.job("next", func(j *model.Job) { j.Tasks, j.Size = 100_000, model.Size{CPUs: 0.001} })
-			placed, drawn := 0, 0
+			placed, sampled := 0, 0
 			names := make([]string, 0, machines)
 			for name := range b.machines.All() {
 				names = append(names, name)
@@ -175,8 +175,8 @@
 					for _, k := range w.Kinds {
 						s := &peerspb.Sample{Want: w.Id, Kind: k}
 						for range w.Draws {
-							drawn++
-							s.Machines = append(s.Machines, names[drawn*7919%len(names)])
+							sampled++
+							s.Machines = append(s.Machines, names[sampled*7919%len(names)])
 						}
 						samples = append(samples, s)
 					}
@@ -188,9 +188,9 @@
 	}
 }
 
-// Of the machines with an image, each with free capacity is sampled as often as any other, however
-// many have none; and when none has, the drawing ends.
-func TestDrawHolders(t *testing.T) {
+// The machines that have an image and free capacity are sampled equally often, however many machines with the image have
+// no free capacity. If none has free capacity, sampling ends.
+func TestImageHoldersAreSampledEvenly(t *testing.T) {
 	b := newBench(t)
 	b.job("x", func(j *model.Job) { j.Tasks = 50 })
 	for i := range 40 {
@@ -209,24 +209,24 @@
 	}
 	for name, n := range count {
 		if m := b.machines.At(name); m.Cordoned || n < 3600 || n > 4400 {
-			t.Errorf("%s is sampled %d times of 40000, 4000 are due to each with capacity", name, n)
+			t.Errorf("%s is sampled %d times of 40000, want about 4000 for each machine with capacity and 0 for others", name, n)
 		}
 	}
 	if len(count) != 10 {
-		t.Errorf("%d machines are sampled, 10 have capacity", len(count))
+		t.Errorf("%d different machines were sampled, want the 10 with capacity", len(count))
 	}
 	for _, m := range b.machines.All() {
 		m.Cordoned = true
 	}
 	p.holders.reset(b.imageHolders["i"])
 	if got := b.sampleHolders(p, ""); len(got) > 0 || p.holders.remaining != 0 {
-		t.Errorf("%d machines are sampled where none has capacity, %d remain", len(got), p.holders.remaining)
+		t.Errorf("%d machines were sampled though none has capacity, %d remain to be sampled", len(got), p.holders.remaining)
 	}
 }
 
-// Where one job looked at every machine with its image in vain, others that ask the same do
-// not look again in that round; those that ask less, or in the next round, do.
-func TestLackingIsShared(t *testing.T) {
+// If one job found no capacity on any machine with its image, other jobs with the same capacity query don't sample these
+// machines again in that round. Jobs with a smaller query, and jobs in the next round, do.
+func TestFailedCapacityQueryIsSharedInRound(t *testing.T) {
 	b := newBench(t)
 	for i, cpus := range []float64{3, 3, 1} {
 		b.job(fmt.Sprintf("x%d", i), func(j *model.Job) { j.Size.CPUs = cpus })
@@ -240,7 +240,7 @@
 		b.updateUnreconciled(m)
 		m.load = model.Size{CPUs: 2, MemoryGB: 2}
 	}
-	looks := func(id string) int {
+	toSample := func(id string) int {
 		p := &plannedJob{job: b.jobs.At(id), now: at(1)}
 		b.beginHolderSampling(p)
 		before := p.holders.remaining
@@ -249,17 +249,17 @@
 		return before
 	}
 	b.noCapacity = map[capacityQuery]bool{}
-	if first, second, less := looks("x0"), looks("x1"), looks("x2"); first != 30 || second != 0 || less != 30 {
-		t.Errorf("the first looks at %d machines of 30, one that asks the same at %d, one that asks less at %d", first, second, less)
+	if first, second, less := toSample("x0"), toSample("x1"), toSample("x2"); first != 30 || second != 0 || less != 30 {
+		t.Errorf("machines to sample: %d for the first job, %d for the same query, %d for a smaller query; want 30, 0, 30", first, second, less)
 	}
 	b.Place(at(2), nil)
-	if again := looks("x1"); again != 30 {
-		t.Errorf("in the next round %d are looked at", again)
+	if again := toSample("x1"); again != 30 {
+		t.Errorf("machines to sample in the next round: %d, want 30", again)
 	}
 }
 
-// The queue is the same, whatever queue was made before it.
-func TestQueueIsTotal(t *testing.T) {
+// The order of the queue doesn't depend on queues that were computed before.
+func TestQueueOrderIgnoresEarlierQueues(t *testing.T) {
 	fresh, used := newBench(t), newBench(t)
 	add := func(b bench, i int) {
 		b.job(fmt.Sprintf("j%03d", i*37%101), func(j *model.Job) {
@@ -285,7 +285,7 @@
 		}
 	}
 	if got, want := fmt.Sprint(ids(used)), fmt.Sprint(ids(fresh)); got != want {
-		t.Errorf("the queue is %s, made anew %s", got, want)
+		t.Errorf("the queue is %s, but %s without earlier queues", got, want)
 	}
 }
 
@@ -303,9 +303,10 @@
 	}
 }
 
-// What the cloud lists no more and nobody hears of is gone, whether its owner knew it before
-// or not; one that sent a heartbeat, or had no time to, is not.
-func TestMissing(t *testing.T) {
+// A machine that the provider no longer lists and that has sent no heartbeat since a given time is missing, whether its
+// owner reports it as joining or not at all. A machine that has sent a heartbeat since, or had no time to send one, is
+// not missing.
+func TestMissingMachinesAreUnlistedAndSilent(t *testing.T) {
 	b := newBench(t)
 	for _, name := range []string{"unseen", "joining", "heard", "listed"} {
 		b.AddMachine(MachineRecord{Name: name, Addr: "x:1", Pool: model.Pool{Type: "small", Zone: "a"}, Revision: 2}, at(0))
@@ -318,12 +319,12 @@
 		want    string
 	}{{0, "[]"}, {0.5, "[unseen]"}, {1.5, "[joining unseen]"}} {
 		if got := fmt.Sprint(b.MissingMachines(listed, at(c.heardBy))); got != c.want {
-			t.Errorf("no heartbeat since %v s: %s, not %s", c.heardBy, got, c.want)
+			t.Errorf("no heartbeat since %v s: missing machines are %s, want %s", c.heardBy, got, c.want)
 		}
 	}
 }
 
-// BenchmarkMemory measures what a leader's cluster state keeps in memory: by machine, by task on it, and by job.
+// BenchmarkMemory measures the memory of a leader's cluster state: per machine, per machine with tasks, and per job.
 //
 //	go test -run '^$' -bench Memory -benchtime 1x ./internal/placement
 func BenchmarkMemory(t *testing.B) {
--- a/internal/placement/summary.go
+++ b/internal/placement/summary.go
@@ -4,22 +4,22 @@
 	"time"
 )
 
-// Summary is the state of the cluster in a few figures, for logs and operators.
+// Summary holds a few counts that describe the cluster, for logs and operators.
 type Summary struct {
 	Machines int
 	Busy     int // machines with tasks
 	Retiring int // scale-in candidates
 	Jobs     int
-	Bound    int // tasks on machines, or on their way there
+	Bound    int // tasks that are bound to machines; they may not have started yet
 	Unplaced int // tasks that are neither bound nor finished
 
-	Unseen    int     // machines that may run tasks and have not answered under our token
-	Placeable int     // unplaced tasks that no limit holds back
-	CPUs      float64 // of the current machines
+	Unseen    int     // machines that may run tasks and have not reported under this leader's token
+	Placeable int     // tasks of the unmet demand, including that of warm headroom
+	CPUs      float64 // total CPUs of the current machines
 	Used      float64 // CPUs of the bound tasks on them
 }
 
-// Summary returns the figures, with what the queue must be computed for.
+// Summary returns all counts. For Placeable it computes the queue.
 func (cs *ClusterState) Summary(now time.Time) Summary {
 	summary := cs.Counts()
 	for _, demand := range cs.UnmetDemands(now) {
@@ -28,7 +28,7 @@
 	return summary
 }
 
-// Counts returns the figures without Placeable, for which the queue would have to be computed.
+// Counts returns all counts except Placeable, for which the queue would have to be computed.
 func (cs *ClusterState) Counts() Summary {
 	summary := Summary{Machines: cs.machines.Len(), Jobs: cs.jobs.Len()}
 	for _, machine := range cs.machines.All() {
--- a/internal/placement/teams.go
+++ b/internal/placement/teams.go
@@ -4,29 +4,29 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// teamUsage sums the sizes of a team's bound tasks. It is updated as tasks are bound and released: summed up
-// for each job of a long queue, it was a large part of a round's time.
+// teamUsage is the total size of a team's bound tasks. It is updated whenever a task is bound or released. Computing the
+// sum for each job of a long queue took a large part of a round's time.
 type teamUsage struct {
 	team   model.Team
 	size   model.Size
 	tasks  int
-	wanted model.Size // by all jobs of the team, as of the last queue
+	wanted model.Size // by all jobs of the team when the queue was last computed
 }
 
-// add counts a task that is bound.
+// add adds a newly bound task.
 func (u *teamUsage) add(size model.Size) {
 	u.size, u.tasks = u.size.Add(size), u.tasks+1
 }
 
-// remove counts a task that is released.
+// remove subtracts a released task.
 func (u *teamUsage) remove(size model.Size) {
 	u.size, u.tasks = u.size.Sub(size), u.tasks-1
 	if u.tasks == 0 {
-		u.size = model.Size{} // rounding must not add up
+		u.size = model.Size{} // discard accumulated rounding errors
 	}
 }
 
-// usageOf returns a team's usage, and makes it if there is none.
+// usageOf returns a team's usage, and creates it if there is none.
 func (cs *ClusterState) usageOf(team string) *teamUsage {
 	usage := cs.teamUsages[team]
 	if usage == nil {
--- a/internal/placement/unmet_demand.go
+++ b/internal/placement/unmet_demand.go
@@ -8,25 +8,26 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// UnmetDemand is a job's demand for capacity that no machine has. The autoscaler scales out for it.
+// UnmetDemand is the part of a job's demand for which no machine has capacity. The autoscaler scales out for it.
 type UnmetDemand struct {
-	Job       string // or the class, of a demand for warm headroom
+	Job       string // the job, or the class if the demand is for warm headroom
 	Size      model.Size
 	Tasks     int
 	Pools     []model.Pool
 	Spot      bool
 	SpotOnly  bool
-	AllAtOnce bool // gangs and services
+	AllAtOnce bool // set for gangs, services and warm headroom
 	OneZone   bool
 	Estimate  time.Duration
-	Horizon   time.Duration // within which its tasks are to end
+	Horizon   time.Duration // time within which the tasks should end
 
 	job *Job
 }
 
-// horizon is within which time an array's tasks may run one after the other without missing the deadline or the
-// class's objective: no longer than the operators say, unless there is more than twice that time. A job whose
-// team has a limit must not wait longer: once the limit holds it back, it can't catch up.
+// horizon returns the time within which an array's tasks may run one after the other without missing the deadline or
+// the class's objective. It is at most the Horizon option, unless more than twice that time is left: then it is half of
+// the time left. It never exceeds the option for a job whose team has a limit: once the limit holds such a job back, the
+// job can't catch up.
 func (cs *ClusterState) horizon(job *Job, now time.Time) time.Duration {
 	horizon := time.Duration(0)
 	consider := func(limit time.Duration) {
@@ -51,25 +52,26 @@
 	return min(horizon, max(horizon/2, cs.opt.Horizon))
 }
 
-// maxRoundsUnconsidered is for how many rounds a job may not have been considered until no machine is requested for it:
-// there may be capacity for it that it was not tried on.
+// maxRoundsUnconsidered is the number of rounds without a turn after which no machines are requested for a job: there
+// may be capacity on which its tasks haven't been tried.
 const maxRoundsUnconsidered = 8
 
-// UnmetDemands returns the demand that the present machines have no capacity for, in the queue's order. Of an
-// array, tasks that they can run one after the other within its horizon are left out.
+// UnmetDemands returns the demand for which the present machines have no capacity, in the order of the queue. Tasks of
+// an array that these machines can run one after the other within the array's horizon are left out.
 //
-// Guard: the demand of a team's earlier jobs counts against its limit only. Taken off each later job's tasks, it
-// hid nearly all of a team that had many jobs; with a thousand tasks pending, machines were requested for a few
-// dozen.
+// Guard: the demand of a team's earlier jobs is subtracted from the team's limit only. When it was subtracted from the
+// tasks of each later job, nearly all demand of a team with many jobs was lost: with a thousand tasks pending, machines
+// were requested for a few dozen.
 //
-// Guard: without maxRoundsUnconsidered, machines were requested for jobs behind a queue whose head used every round
-// up. They were idle, were returned and requested again: 7000 of them for 4000 starts.
+// Guard: without maxRoundsUnconsidered, machines were requested for jobs that got no turn because the jobs at the head
+// of the queue used up every round. The machines stayed idle, were returned and were requested again: 7000 machines for
+// 4000 starts.
 //
-// Guard: what counts is the capacity, not whether the last round placed something. A large array that gets a few
-// slots in every round still needs machines.
+// Guard: the demand depends on the free capacity, not on whether the last round placed something. A large array that
+// gets a few slots in every round still needs machines.
 func (cs *ClusterState) UnmetDemands(now time.Time) []UnmetDemand {
 	var demands []UnmetDemand
-	requested := map[string]model.Size{} // by team: by the jobs before
+	requested := map[string]model.Size{} // by team: total size requested by earlier jobs of the queue
 	queue := append(cs.queue(now), cs.upcoming...)
 	capacity := cs.newFreeCapacity(now, queue)
 	for _, job := range queue {
@@ -89,7 +91,7 @@
 	return append(demands, cs.headroomDemands()...)
 }
 
-// unmetDemandsOf allocates free capacity to a number of a job's tasks, and returns the demand of those that find
+// unmetDemandsOf allocates free capacity to a number of a job's tasks, and returns the demand of those for which there is
 // none.
 func (cs *ClusterState) unmetDemandsOf(job *Job, tasks int, capacity *freeCapacity, now time.Time) []UnmetDemand {
 	demand := UnmetDemand{
@@ -110,7 +112,7 @@
 	zone := ""
 	if demand.OneZone {
 		zone = capacity.bestZone(job, demand.Pools, tasks)
-		// Requested machines should join those that are there.
+		// Request machines in the zone that already has the most capacity for the job.
 		demand.Pools = slices.Clone(demand.Pools)
 		slices.SortStableFunc(demand.Pools, func(x, y model.Pool) int {
 			return cmp.Compare(trueFirst(x.Zone == zone), trueFirst(y.Zone == zone))
@@ -127,11 +129,12 @@
 	return []UnmetDemand{demand}
 }
 
-// holdForGang holds the machines that have capacity for a part of a gang while the missing ones are requested, for as long as
-// the gang is to start within.
+// holdForGang holds the machines that have capacity for a part of a gang while the missing machines are requested. It
+// does so until the BeginWithin option has passed since the gang was accepted.
 //
-// Guard: machines become ready one after the other. The first ones were returned as idle before the last one was
-// up, and requested again, over and over: a gang of seven tasks never started (simulation of regions, seed 1806).
+// Guard: machines become ready one after the other. Without the hold, the first machines were returned as idle before
+// the last one was up, and were requested again, over and over: a gang of seven tasks never started (simulation of
+// regions, seed 1806).
 func (cs *ClusterState) holdForGang(job *Job, machines []*Machine, now time.Time) {
 	if job.Spec.Shape != model.Gang || now.Sub(job.Accepted) > cs.opt.BeginWithin {
 		return
@@ -141,6 +144,6 @@
 	}
 }
 
-// HeldForGang tells whether a machine is held for a gang for which more are requested, as of the demand at this
-// moment.
+// HeldForGang reports whether UnmetDemands, called with the same time, holds the machine for a gang for which more
+// machines are requested.
 func (m *Machine) HeldForGang(now time.Time) bool { return m.heldForGangAt.Equal(now) }
--- a/internal/placement/unmet_demand_test.go
+++ b/internal/placement/unmet_demand_test.go
@@ -10,24 +10,24 @@
 	"github.com/marlwood/marlwood/internal/peers/peerspb"
 )
 
-// What the machines that are up cannot take, now or in turn within what is
-// asked of the class, is needed, whatever the last round placed.
-func TestNeeds(t *testing.T) {
+// Tasks count as unmet demand if the present machines can't run them now, or one after the other within the horizon,
+// whether or not the last round placed some tasks of the job.
+func TestUnmetDemandOfOneJob(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		job     func(j *model.Job)
 		prepare func(b bench)
-		need    int
+		want    int // tasks of unmet demand
 	}{
-		{"there is room", func(j *model.Job) { j.Tasks = 4 }, nil, 0},
-		{"there is not", func(j *model.Job) { j.Tasks = 7 }, nil, 3},
-		{"though some were placed", func(j *model.Job) { j.Tasks = 7 }, func(b bench) { b.round(1) }, 3},
-		{"in turn", func(j *model.Job) { j.Tasks, j.Estimate = 8, 10*time.Second }, func(b bench) { b.round(1) }, 0},
-		{"in turn, as far as they get", func(j *model.Job) { j.Tasks, j.Estimate = 20, 10*time.Second }, func(b bench) { b.round(1) }, 2},
-		{"not in turn for a gang", func(j *model.Job) { j.Tasks, j.Shape, j.Estimate = 6, model.Gang, 10*time.Second }, nil, 2},
+		{"capacity for all tasks", func(j *model.Job) { j.Tasks = 4 }, nil, 0},
+		{"capacity for some tasks", func(j *model.Job) { j.Tasks = 7 }, nil, 3},
+		{"capacity for some tasks, which were placed", func(j *model.Job) { j.Tasks = 7 }, func(b bench) { b.round(1) }, 3},
+		{"tasks run one after the other", func(j *model.Job) { j.Tasks, j.Estimate = 8, 10*time.Second }, func(b bench) { b.round(1) }, 0},
+		{"tasks run one after the other within the horizon", func(j *model.Job) { j.Tasks, j.Estimate = 20, 10*time.Second }, func(b bench) { b.round(1) }, 2},
+		{"a gang's members don't run one after the other", func(j *model.Job) { j.Tasks, j.Shape, j.Estimate = 6, model.Gang, 10*time.Second }, nil, 2},
 		{"a gang in one zone", func(j *model.Job) { j.Tasks, j.Shape, j.OneZone = 4, model.Gang, true }, nil, 2},
-		{"a fresh token does not make machines vanish", func(j *model.Job) { j.Tasks = 4 }, func(b bench) { b.TokenRenewed(6, at(1)) }, 0},
-		{"expired ones are none", func(j *model.Job) { j.Tasks = 4 }, func(b bench) { b.report(1, "m1", "expired", 0) }, 2},
+		{"machines that have not reported under a new token count", func(j *model.Job) { j.Tasks = 4 }, func(b bench) { b.TokenRenewed(6, at(1)) }, 0},
+		{"expired machines don't count", func(j *model.Job) { j.Tasks = 4 }, func(b bench) { b.report(1, "m1", "expired", 0) }, 2},
 	} {
 		b := newBench(t)
 		b.opt.Horizon = 45 * time.Second
@@ -42,24 +42,25 @@
 		for _, n := range b.UnmetDemands(at(2)) {
 			got += n.Tasks
 		}
-		if got != c.need {
-			t.Errorf("%s: %d needed, want %d", c.name, got, c.need)
+		if got != c.want {
+			t.Errorf("%s: unmet demand of %d tasks, want %d", c.name, got, c.want)
 		}
 	}
 }
 
-// Room in a zone that may take no more of a job is none: the rest is rented elsewhere.
-func TestSpreadNeeds(t *testing.T) {
+// Free capacity in a zone that already has as many of a spread service's tasks as it may have doesn't count: machines
+// for the other tasks are requested in other zones.
+func TestUnmetDemandOfSpreadService(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		tasks int
-		bound []string // zones of those that run
+		bound []string // zones of the running tasks
 		want  map[string]int
 	}{
-		{"one of two runs", 2, []string{"a"}, map[string]int{"b": 1}},
-		{"none runs: one fits here", 2, nil, map[string]int{"b": 1}},
-		{"three fit here", 5, nil, map[string]int{"b": 2}},
-		{"more than is here", 20, nil, map[string]int{"a": 2, "b": 10}},
+		{"one of two tasks runs", 2, []string{"a"}, map[string]int{"b": 1}},
+		{"none of two tasks runs, one fits", 2, nil, map[string]int{"b": 1}},
+		{"three of five tasks fit", 5, nil, map[string]int{"b": 2}},
+		{"more tasks than there is capacity for", 20, nil, map[string]int{"a": 2, "b": 10}},
 	} {
 		b := newBench(t)
 		b.job("x", func(j *model.Job) { j.Tasks, j.Shape, j.Spread = c.tasks, model.Service, true })
@@ -84,8 +85,9 @@
 	}
 }
 
-// An array with more than twice the usual horizon has half of its own time as horizon, unless its team has a limit.
-func TestHorizon(t *testing.T) {
+// An array that has more than twice the usual horizon left gets half of that time as horizon, unless its team has a
+// limit.
+func TestHorizonOfArray(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(j *model.Job)
@@ -93,11 +95,11 @@
 		want   time.Duration
 	}{
 		{"no objective", nil, 1, 45 * time.Second},
-		{"a little more time", func(j *model.Job) { j.Deadline = 80 * time.Second }, 0, 45 * time.Second},
-		{"much more", func(j *model.Job) { j.Class = "soon" }, 0, 160 * time.Second},
-		{"half of what is left", func(j *model.Job) { j.Class = "soon" }, 100, 110 * time.Second},
-		{"less", func(j *model.Job) { j.Deadline = 40 * time.Second }, 0, 36 * time.Second},
-		{"too late", func(j *model.Job) { j.Deadline = 40 * time.Second }, 50, 45 * time.Second},
+		{"less than twice the usual horizon left", func(j *model.Job) { j.Deadline = 80 * time.Second }, 0, 45 * time.Second},
+		{"much more time left", func(j *model.Job) { j.Class = "soon" }, 0, 160 * time.Second},
+		{"half of the time left", func(j *model.Job) { j.Class = "soon" }, 100, 110 * time.Second},
+		{"less than the usual horizon left", func(j *model.Job) { j.Deadline = 40 * time.Second }, 0, 36 * time.Second},
+		{"past the deadline", func(j *model.Job) { j.Deadline = 40 * time.Second }, 50, 45 * time.Second},
 		{"a team with a limit", func(j *model.Job) { j.Class, j.Team = "soon", "tight" }, 0, 45 * time.Second},
 	} {
 		b := spotBench(t)
@@ -110,13 +112,13 @@
 		})
 		b.TryComplete()
 		if demands := b.UnmetDemands(at(c.now)); len(demands) != 1 || demands[0].Horizon != c.want {
-			t.Errorf("%s: %+v", c.name, demands)
+			t.Errorf("%s: want one demand with the horizon of this case, got %+v", c.name, demands)
 		}
 	}
 }
 
-// The demand of a team's earlier jobs counts against its limit, not against the tasks of its later ones.
-func TestNeedsOfManyJobs(t *testing.T) {
+// The demand of a team's earlier jobs is subtracted from the team's limit, not from the tasks of its later jobs.
+func TestUnmetDemandOfManyJobsOfTeam(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		team string
@@ -124,7 +126,7 @@
 		want int
 	}{
 		{"no limit", "free", 20, 200}, {"far from the limit", "wide", 20, 200}, {"up to the limit", "wide", 70, 500},
-		{"a tight limit", "tight", 9, 2},
+		{"far above a tight limit", "tight", 9, 2},
 	} {
 		b := newBench(t)
 		b.teams["wide"] = model.Team{Name: "wide", Limit: model.Size{CPUs: 1000}}
@@ -137,13 +139,13 @@
 			got += demand.Tasks
 		}
 		if got != c.want {
-			t.Errorf("%s: %d tasks, want %d", c.name, got, c.want)
+			t.Errorf("%s: unmet demand of %d tasks, want %d", c.name, got, c.want)
 		}
 	}
 }
 
-// Machines with capacity for a part of a gang are held while the rest is rented, as long as the gang is to start
-// within. Guard: simulation of regions, seed 1806.
+// Machines with capacity for a part of a gang are held while the other machines are requested, until the time within
+// which the gang should start has passed. Guard: simulation of regions, seed 1806.
 func TestHoldForGang(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -152,8 +154,8 @@
 		at    float64
 		held  bool
 	}{
-		{"a gang that lacks capacity", model.Gang, 7, 2, true},
-		{"a gang that has capacity", model.Gang, 3, 2, false},
+		{"a gang without enough capacity", model.Gang, 7, 2, true},
+		{"a gang with enough capacity", model.Gang, 3, 2, false},
 		{"an array", model.Array, 7, 2, false},
 		{"a gang that should have started long ago", model.Gang, 7, 1000, false},
 	} {
@@ -166,10 +168,10 @@
 		b.job("x", func(j *model.Job) { j.Shape, j.Tasks = c.shape, c.tasks })
 		b.UnmetDemands(at(c.at))
 		if got := b.machines.At("m1").HeldForGang(at(c.at)); got != c.held {
-			t.Errorf("%s: its machines are held: %v", c.name, got)
+			t.Errorf("%s: machine held for the gang: %v", c.name, got)
 		}
 		if b.machines.At("m1").HeldForGang(at(c.at + 1)) {
-			t.Errorf("%s: they are held at another moment", c.name)
+			t.Errorf("%s: machine held for the gang at a later time as well", c.name)
 		}
 	}
 }
--- a/internal/placement/warm_headroom.go
+++ b/internal/placement/warm_headroom.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// rateWindow is how far back arrivals count.
+// rateWindow is the time for which an arrival counts towards the rate.
 const rateWindow = 2 * time.Minute
 
-// headroomRenewal is for how long warm headroom is reserved at a time.
+// headroomRenewal is the duration of a reservation of warm headroom; MaintainHeadroom renews it.
 const headroomRenewal = 3 * time.Second
 
-// classArrivals is what was seen of a class whose tasks are to start sooner than a machine boots.
+// classArrivals records the recent arrivals of a class that has an objective for the wait until its tasks start.
 type classArrivals struct {
 	lastJob      *Job
 	arrivals     []arrival
-	missingSlots int // that the warm headroom lacks
+	missingSlots int // slots for which no headroom could be reserved
 }
 
 // arrival is the arrival of a job of a class.
@@ -26,7 +26,7 @@
 	tasks int
 }
 
-// recordArrival records the arrival of a new job, if its class has an objective for the start.
+// recordArrival records the arrival of a new job if its class has an objective for the wait until its tasks start.
 func (cs *ClusterState) recordArrival(job *Job) {
 	if cs.opt.Aims[job.Spec.Class].Wait == 0 {
 		return
@@ -40,7 +40,8 @@
 	class.arrivals = append(class.arrivals, arrival{job.Accepted, job.Spec.Tasks})
 }
 
-// expectedArrivals is how many tasks arrive within a lead time, a standard deviation more than on average.
+// expectedArrivals returns the number of tasks that are expected to arrive within a lead time: the mean plus one
+// standard deviation.
 func (c *classArrivals) expectedArrivals(lead time.Duration) float64 {
 	share := lead.Seconds() / rateWindow.Seconds()
 	mean, square := 0.0, 0.0
@@ -51,9 +52,10 @@
 	return mean*share + math.Sqrt(square*share)
 }
 
-// MaintainHeadroom renews the warm headroom of classes that must start sooner than a machine boots: as much
-// capacity as arrivals during a boot need is reserved on machines that don't scale in. Work of lower priority
-// may not use it, for preempting that work would cost time too. It is an exception to the paper's rule.
+// MaintainHeadroom renews the warm headroom of classes whose tasks must start sooner than a machine boots. It reserves
+// capacity for the tasks that are expected to arrive during a boot, on machines that don't scale in. Jobs of other classes
+// may not use this capacity unless they have a higher priority or are boosted, as preempting their tasks would take time
+// too. Reserving headroom is an exception to the paper's rule.
 func (cs *ClusterState) MaintainHeadroom(now time.Time) {
 	for name, class := range cs.classes.All() {
 		class.missingSlots = 0
@@ -73,8 +75,8 @@
 	}
 }
 
-// reserveHeadroom reserves capacity for a number of tasks like those of a class's last job, and returns how many
-// find none.
+// reserveHeadroom reserves capacity for a number of tasks like those of a class's last job, and returns the number of
+// tasks for which there is none.
 func (cs *ClusterState) reserveHeadroom(class string, job *Job, slots int, now time.Time) (missing int) {
 	missing = slots
 	for _, machine := range cs.headroomMachines(job, now) {
@@ -93,7 +95,7 @@
 	return missing
 }
 
-// headroomDemands is the demand for machines for the warm headroom that is missing.
+// headroomDemands returns the unmet demand for warm headroom.
 func (cs *ClusterState) headroomDemands() []UnmetDemand {
 	var demands []UnmetDemand
 	for name, class := range cs.classes.All() {
@@ -116,7 +118,7 @@
 	return demands
 }
 
-// boot is how long a machine for a job boots, of the slowest type.
+// boot returns the boot time of the slowest machine type that a job may run on.
 func (cs *ClusterState) boot(j *Job) time.Duration {
 	var boot time.Duration
 	for _, pool := range cs.poolsFor(j) {
@@ -125,8 +127,9 @@
 	return boot
 }
 
-// headroomMachines lists the machines that may hold warm headroom for a job's class: for one that must stay in
-// one zone those of the zone with most free capacity first, then the cheapest, of equals the one most in use.
+// headroomMachines returns the machines that may hold warm headroom for a job's class. They are ordered by ascending
+// price, and at equal price by descending share in use. If the job must stay in one zone, the machines of the zone with
+// the most free capacity come first.
 func (cs *ClusterState) headroomMachines(job *Job, now time.Time) []*Machine {
 	var machines []*Machine
 	slotsByZone := map[string]int{}
@@ -152,7 +155,7 @@
 	return machines
 }
 
-// HoldsHeadroom tells whether warm headroom is reserved on a machine.
+// HoldsHeadroom reports whether warm headroom is reserved on the machine.
 func (m *Machine) HoldsHeadroom() bool {
 	for _, reservation := range m.reserved.All() {
 		if reservation.class != "" {
--- a/internal/placement/warm_headroom_test.go
+++ b/internal/placement/warm_headroom_test.go
@@ -7,9 +7,10 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// A class that must start sooner than a machine boots finds room that others
-// of no higher priority may not take, on machines that are not let go.
-func TestHeadroom(t *testing.T) {
+// Capacity is reserved for a class whose tasks must start sooner than a machine boots. Jobs that don't have a higher
+// priority can't use it, its machines don't scale in, and it is demanded again once used. The reservation ends when no
+// jobs of the class arrive any more.
+func TestWarmHeadroomIsReservedAndRestored(t *testing.T) {
 	b := newBench(t)
 	b.opt.Aims = map[string]model.Objective{"urgent": {Wait: 4 * time.Second}}
 	b.opt.Standing, b.opt.Spare = 1, 0.2
@@ -26,7 +27,7 @@
 	b.MaintainHeadroom(at(1))
 	b.job("x", func(j *model.Job) { j.Tasks = 4 })
 	if got := b.round(1); got != 2 {
-		t.Errorf("%d tasks placed, want 2: the rest is standing room", got)
+		t.Errorf("%d tasks placed, want 2: the other capacity is warm headroom", got)
 	}
 	for i := range 4 {
 		b.MaintainHeadroom(at(float64(2 + i)))
@@ -34,7 +35,7 @@
 	}
 	b.job("u1", urgent)
 	if b.round(8) < 1 || b.machineOf("u1", 0) == "" {
-		t.Error("the class finds no room")
+		t.Error("no task of the class was placed on the warm headroom")
 	}
 	b.MaintainHeadroom(at(9))
 	short := 0
@@ -44,10 +45,10 @@
 		}
 	}
 	if short != 2 {
-		t.Errorf("%d slots are asked for to restore it, want 2", short)
+		t.Errorf("unmet demand of %d slots to restore the headroom, want 2", short)
 	}
 	b.MaintainHeadroom(at(500))
 	if b.classes.At("urgent").missingSlots != 0 || b.machines.At("m1").HoldsHeadroom() || b.machines.At("m2").HoldsHeadroom() {
-		t.Error("room is kept although nothing arrives any more")
+		t.Error("headroom is reserved although no jobs arrive any more")
 	}
 }
