--- a/internal/placement/drain_rows.go
+++ b/internal/placement/drain_rows.go
@@ -28,11 +28,11 @@
 
 // drainProgress accumulates the data from which a drain's row is computed.
 type drainProgress struct {
-	drain       *Drain
-	row         *operatorspb.Drain
-	gangs       []*Job        // gangs with members on drained machines
-	last        time.Duration // estimated time until the last task has ended
-	predictable bool          // the time until the last task has ended can be estimated
+	drain            *Drain
+	row              *operatorspb.Drain
+	gangs            []*Job        // gangs with members on drained machines
+	longestRemaining time.Duration // estimated time until the last task has ended
+	predictable      bool          // the time until the last task has ended can be estimated
 }
 
 func (cs *ClusterState) drainRow(drain *Drain, now time.Time) *operatorspb.Drain {
@@ -63,7 +63,7 @@
 	case row.Empty == row.Machines:
 		row.State = "empty"
 	case progress.predictable:
-		row.EmptyUnixMs = unixMS(now.Add(progress.last))
+		row.EmptyUnixMs = unixMS(now.Add(progress.longestRemaining))
 	}
 	return row
 }
@@ -97,7 +97,7 @@
 	} else if !p.drain.Deadline.IsZero() {
 		remaining = min(remaining, max(0, p.drain.Deadline.Sub(now))+graceFor(task.job.Spec))
 	}
-	p.last = max(p.last, remaining)
+	p.longestRemaining = max(p.longestRemaining, remaining)
 }
 
 // addGang adds the row of a gang with members on drained machines.
--- a/internal/placement/drain_test.go
+++ b/internal/placement/drain_test.go
@@ -58,32 +58,47 @@
 		elsewhere float64 // CPUs that are free on the other machine
 		want      map[string]float64
 	}{
-		{"an array without checkpoints runs on", func(j *model.Job) { j.Tasks, j.Estimate = 4, time.Minute }, model.TaskRunning, nodeDrain("old", 0), 500, 8, nil},
-		{"an array without checkpoints is stopped at the deadline", func(j *model.Job) { j.Tasks, j.Estimate = 4, time.Minute }, model.TaskRunning, nodeDrain("old", 5), 6, 8,
+		{"an array without checkpoints runs on",
+			func(j *model.Job) { j.Tasks, j.Estimate = 4, time.Minute }, model.TaskRunning, nodeDrain("old", 0), 500, 8, nil},
+		{"an array without checkpoints is stopped at the deadline",
+			func(j *model.Job) { j.Tasks, j.Estimate = 4, time.Minute }, model.TaskRunning, nodeDrain("old", 5), 6, 8,
 			map[string]float64{"x/0": 0, "x/1": 0}},
-		{"an array with checkpoints is stopped at once", func(j *model.Job) { j.Tasks, j.CheckpointEvery, j.SaveTime = 4, time.Second, time.Second }, model.TaskRunning,
+		{"an array with checkpoints is stopped at once",
+			func(j *model.Job) { j.Tasks, j.CheckpointEvery, j.SaveTime = 4, time.Second, time.Second }, model.TaskRunning,
 			nodeDrain("old", 0), 2, 0, map[string]float64{"x/0": 2, "x/1": 2}},
-		{"an array that has not started is stopped at once", func(j *model.Job) { j.Tasks = 4 }, model.TaskFetching, nodeDrain("old", 0), 2, 0,
+		{"an array that has not started is stopped at once",
+			func(j *model.Job) { j.Tasks = 4 }, model.TaskFetching, nodeDrain("old", 0), 2, 0,
 			map[string]float64{"x/0": 0, "x/1": 0}},
-		{"replicas are stopped if there is capacity elsewhere", func(j *model.Job) { j.Tasks, j.Shape = 4, model.Service }, model.TaskRunning, nodeDrain("old", 0), 2, 8,
+		{"replicas are stopped if there is capacity elsewhere",
+			func(j *model.Job) { j.Tasks, j.Shape = 4, model.Service }, model.TaskRunning, nodeDrain("old", 0), 2, 8,
 			map[string]float64{"x/0": 0, "x/1": 0}},
-		{"as many replicas are stopped as there is capacity for elsewhere", func(j *model.Job) { j.Tasks, j.Shape = 4, model.Service }, model.TaskRunning, nodeDrain("old", 0), 2, 2,
+		{"as many replicas are stopped as there is capacity for elsewhere",
+			func(j *model.Job) { j.Tasks, j.Shape = 4, model.Service }, model.TaskRunning, nodeDrain("old", 0), 2, 2,
 			map[string]float64{"x/0": 0}},
-		{"replicas run on if there is no capacity elsewhere", func(j *model.Job) { j.Tasks, j.Shape = 4, model.Service }, model.TaskRunning, nodeDrain("old", 0), 2, 1, nil},
-		{"replicas are stopped at the deadline without capacity elsewhere", func(j *model.Job) { j.Tasks, j.Shape = 4, model.Service }, model.TaskRunning, nodeDrain("old", 3), 4, 1,
+		{"replicas run on if there is no capacity elsewhere",
+			func(j *model.Job) { j.Tasks, j.Shape = 4, model.Service }, model.TaskRunning, nodeDrain("old", 0), 2, 1, nil},
+		{"replicas are stopped at the deadline without capacity elsewhere",
+			func(j *model.Job) { j.Tasks, j.Shape = 4, model.Service }, model.TaskRunning, nodeDrain("old", 3), 4, 1,
 			map[string]float64{"x/0": 0, "x/1": 0}},
 		{"a gang runs on without a deadline", gangOfFour, model.TaskRunning, nodeDrain("old", 0), 500, 8, nil},
 		{"a gang runs on before the deadline", gangOfFour, model.TaskRunning, nodeDrain("old", 5), 4, 8, nil},
-		{"a gang is stopped as a whole after the deadline", gangOfFour, model.TaskRunning, nodeDrain("old", 5), 6, 4, map[string]float64{"x/0": 3, "x/1": 3, "x/2": 3, "x/3": 3}},
-		{"a gang runs on after the deadline if there is no capacity for all members", gangOfFour, model.TaskRunning, nodeDrain("old", 5), 6, 3, nil},
-		{"a gang is stopped after the deadline of a forced drain without capacity", gangOfFour, model.TaskRunning, &Drain{Scope: ZoneScope, Name: "a", Deadline: at(5), Force: true}, 6, 3,
+		{"a gang is stopped as a whole after the deadline",
+			gangOfFour, model.TaskRunning, nodeDrain("old", 5), 6, 4, map[string]float64{"x/0": 3, "x/1": 3, "x/2": 3, "x/3": 3}},
+		{"a gang runs on after the deadline if there is no capacity for all members",
+			gangOfFour, model.TaskRunning, nodeDrain("old", 5), 6, 3, nil},
+		{"a gang without capacity elsewhere is stopped after the deadline of a forced drain",
+			gangOfFour, model.TaskRunning, &Drain{Scope: ZoneScope, Name: "a", Deadline: at(5), Force: true}, 6, 3,
 			map[string]float64{"x/0": 3, "x/1": 3, "x/2": 3, "x/3": 3}},
-		{"an array that an earlier leader stopped goes on checkpointing", func(j *model.Job) { j.Tasks, j.CheckpointEvery, j.SaveTime = 4, time.Second, time.Second },
+		{"an array that an earlier leader stopped goes on checkpointing",
+			func(j *model.Job) { j.Tasks, j.CheckpointEvery, j.SaveTime = 4, time.Second, time.Second },
 			model.TaskSaving, nodeDrain("old", 0), 2, 8, nil},
-		{"a gang that an earlier leader stopped goes on checkpointing", gangOfFour, model.TaskSaving, nodeDrain("old", 1), 2, 8, nil},
-		{"a gang whose members wait for each other is stopped as a whole at once", gangOfFour, model.TaskWaiting, nodeDrain("old", 0), 2, 0,
+		{"a gang that an earlier leader stopped goes on checkpointing",
+			gangOfFour, model.TaskSaving, nodeDrain("old", 1), 2, 8, nil},
+		{"a gang whose members wait for each other is stopped as a whole at once",
+			gangOfFour, model.TaskWaiting, nodeDrain("old", 0), 2, 0,
 			map[string]float64{"x/0": 0, "x/1": 0, "x/2": 0, "x/3": 0}},
-		{"a drain of a machine type", func(j *model.Job) { j.Tasks = 4 }, model.TaskFetching, &Drain{Scope: TypeScope, Name: "small"}, 2, 0,
+		{"a drain of a machine type",
+			func(j *model.Job) { j.Tasks = 4 }, model.TaskFetching, &Drain{Scope: TypeScope, Name: "small"}, 2, 0,
 			map[string]float64{"x/0": 0, "x/1": 0}},
 	} {
 		b := newBench(t)
@@ -98,7 +113,8 @@
 			t.Errorf("%s: stopped %v, want %v", c.name, got, c.want)
 		}
 		if b.machines.At("old").usable() || !b.machines.At("new").usable() {
-			t.Errorf("%s: usable: drained machine %v, other machine %v", c.name, b.machines.At("old").usable(), b.machines.At("new").usable())
+			t.Errorf("%s: usable: drained machine %v, other machine %v",
+				c.name, b.machines.At("old").usable(), b.machines.At("new").usable())
 		}
 		if row := b.DrainRow(c.drain.Target(), at(c.at)); row.Machines != 1 || row.Tasks != 2 || row.State != "draining" {
 			t.Errorf("%s: row of the drain: %v", c.name, row)
--- a/internal/placement/scale_test.go
+++ b/internal/placement/scale_test.go
@@ -60,7 +60,8 @@
 		t.Errorf("a quiet round takes %g allocations with 1000 machines, want at most 6", cost[1000])
 	}
 	if cost[16000] >= 2*max(cost[1000], 1) {
-		t.Errorf("a quiet round takes %g allocations with 1000 machines, %g with 16000, want less than twice as many", cost[1000], cost[16000])
+		t.Errorf("a quiet round takes %g allocations with 1000 machines, %g with 16000, want less than twice as many",
+			cost[1000], cost[16000])
 	}
 }
 
@@ -78,7 +79,8 @@
 			}
 		}
 		if fmt.Sprint(unreconciled) != fmt.Sprint(want) || len(b.unreconciled) != len(want) || fmt.Sprint(pools) != fmt.Sprint(b.machinesInPool) {
-			t.Errorf("%s: unreconciled machines are %v (set of %d), want %v; pools have %v machines, counted %v", step, unreconciled, len(b.unreconciled), want, pools, b.machinesInPool)
+			t.Errorf("%s: unreconciled machines are %v (set of %d), want %v; pools have %v machines, counted %v",
+				step, unreconciled, len(b.unreconciled), want, pools, b.machinesInPool)
 		}
 		for _, name := range want {
 			if b.unreconciled[name] == nil {
@@ -250,7 +252,8 @@
 	}
 	b.noCapacity = map[capacityQuery]bool{}
 	if first, second, less := toSample("x0"), toSample("x1"), toSample("x2"); first != 30 || second != 0 || less != 30 {
-		t.Errorf("machines to sample: %d for the first job, %d for the same query, %d for a smaller query; want 30, 0, 30", first, second, less)
+		t.Errorf("machines to sample: %d for the first job, %d for the same query, %d for a smaller query; want 30, 0, 30",
+			first, second, less)
 	}
 	b.Place(at(2), nil)
 	if again := toSample("x1"); again != 30 {
--- a/internal/placement/unmet_demand.go
+++ b/internal/placement/unmet_demand.go
@@ -112,7 +112,7 @@
 	zone := ""
 	if demand.OneZone {
 		zone = capacity.bestZone(job, demand.Pools, tasks)
-		// Request machines in the zone that already has the most capacity for the job.
+		// Requested machines should be in the same zone as the present capacity for the job.
 		demand.Pools = slices.Clone(demand.Pools)
 		slices.SortStableFunc(demand.Pools, func(x, y model.Pool) int {
 			return cmp.Compare(trueFirst(x.Zone == zone), trueFirst(y.Zone == zone))
