--- a/internal/placement/snapshot_export.go
+++ b/internal/placement/snapshot_export.go
@@ -84,7 +84,7 @@
 		for _, order := range orders {
 			text, err := proto.Marshal(order)
 			if err != nil {
-				return fmt.Errorf("order %d: %w", order.Id, err)
+				return fmt.Errorf("encode order %d: %w", order.Id, err)
 			}
 			state.Out[member] = append(state.Out[member], text)
 		}
--- a/internal/placement/snapshot_import.go
+++ b/internal/placement/snapshot_import.go
@@ -85,7 +85,7 @@
 	for _, state := range states {
 		job, machine := cs.jobs.At(state.Job), cs.machines.At(state.Machine)
 		if job == nil || machine == nil {
-			return fmt.Errorf("state: task %s/%d on %s: no such job or machine", state.Job, state.Index, state.Machine)
+			return fmt.Errorf("state: task %s/%d on machine %s: unknown job or machine", state.Job, state.Index, state.Machine)
 		}
 		task := &Task{
 			job:            job,
@@ -115,7 +115,7 @@
 		for _, text := range texts {
 			order := &peerspb.Order{}
 			if err := proto.Unmarshal(text, order); err != nil {
-				return fmt.Errorf("state: order for %s: %w", member, err)
+				return fmt.Errorf("state: decode order for member %s: %w", member, err)
 			}
 			cs.outbox[member] = append(cs.outbox[member], order)
 		}
--- a/internal/placement/warm_headroom_test.go
+++ b/internal/placement/warm_headroom_test.go
@@ -8,8 +8,8 @@
 )
 
 // Capacity is reserved for a class whose tasks must start sooner than a machine boots. Jobs that don't have a higher
-// priority can't use it, its machines don't scale in, and it is demanded again once used. The reservation ends when no
-// jobs of the class arrive any more.
+// priority can't use it, machines that hold it don't scale in, and once used it is demanded again. The reservation ends
+// when no jobs of the class arrive any more.
 func TestWarmHeadroomIsReservedAndRestored(t *testing.T) {
 	b := newBench(t)
 	b.opt.Aims = map[string]model.Objective{"urgent": {Wait: 4 * time.Second}}
