--- a/internal/scheduler/encoded_test.go
+++ b/internal/scheduler/encoded_test.go
@@ -16,10 +16,11 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// Recordings and stored values name the fields of these types by their Go names or tags.
-// The bytes in testdata were written before any of them was renamed: what an earlier
-// version stored stays readable, and an earlier version reads what this one stores.
-func TestEncodedBytes(t *testing.T) {
+// Recordings and stored values contain the fields of these types under their Go names or
+// tags. A renamed field without a tag would make earlier recordings unreadable, and new
+// ones unreadable for earlier versions. The bytes in testdata were written before any field
+// was renamed; the encoding must still produce them.
+func TestEncodingMatchesStoredBytes(t *testing.T) {
 	var state snapshot
 	fillValue(reflect.ValueOf(&state).Elem(), "state", 0)
 	stateBytes, err := encMode.Marshal(state)
@@ -48,7 +49,7 @@
 				t.Fatal(err)
 			}
 			if !bytes.Equal(got, want) {
-				t.Errorf("%d bytes are encoded now, %d were: a field was renamed without a tag, added or dropped", len(got), len(want))
+				t.Errorf("encoding has %d bytes, stored encoding has %d: a field was renamed without a tag, added or removed", len(got), len(want))
 			}
 		})
 	}
@@ -57,11 +58,11 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(read, state) {
-		t.Error("a state is read otherwise than it was written")
+		t.Error("decoded state differs from the encoded one")
 	}
 }
 
-// sortedJSON encodes a value with its keys in order, for the order of fields is of no consequence to readers.
+// sortedJSON encodes a value with sorted keys, because readers ignore the order of fields.
 func sortedJSON(t *testing.T, v any) []byte {
 	t.Helper()
 	text, err := json.Marshal(v)
@@ -78,10 +79,10 @@
 	return text
 }
 
-// maxDepth ends the filling of recursive types.
+// maxDepth limits the depth to which recursive types are filled.
 const maxDepth = 12
 
-// fillValue gives all exported fields values that depend on their encoded names alone.
+// fillValue sets all exported fields to values that depend only on their encoded names.
 func fillValue(v reflect.Value, path string, depth int) {
 	if depth > maxDepth {
 		return
@@ -110,15 +111,15 @@
 	}
 }
 
-// pathNumber is a number from 1 to 1000 that depends on the path alone.
+// pathNumber returns a number from 1 to 1000 that depends only on the path.
 func pathNumber(path string) int64 {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(path))
 	return int64(hash.Sum32()%1000) + 1
 }
 
-// fillEncodedAsScalar fills the types that are encoded as one value whatever their kind
-// is, and tells whether v is of such a type.
+// fillEncodedAsScalar sets v if its type is encoded as a single value regardless of its
+// kind, and reports whether it is of such a type.
 func fillEncodedAsScalar(v reflect.Value, number int64) bool {
 	switch v.Interface().(type) {
 	case time.Time:
@@ -165,7 +166,7 @@
 	}
 }
 
-// encodedName is the name under which a field is stored.
+// encodedName returns the name under which a field is stored.
 func encodedName(field reflect.StructField) string {
 	for _, key := range []string{"cbor", "json"} {
 		if name, _, _ := strings.Cut(field.Tag.Get(key), ","); name != "" {
--- a/internal/scheduler/snapshot.go
+++ b/internal/scheduler/snapshot.go
@@ -17,31 +17,31 @@
 	"github.com/marlwood/marlwood/internal/record/recordpb"
 )
 
-// Version is the version of the encoding of states and events. A program imports its
-// own version only: what other code decided cannot be decided again.
+// Version is the version of the encoding of states and events. A program imports its own
+// version only, because it cannot reproduce the decisions of other code.
 const Version = 1
 
-// ErrVersion is returned for a state of another version of the encoding.
-var ErrVersion = errors.New("state of another form")
+// ErrVersion is returned for a state in another version of the encoding.
+var ErrVersion = errors.New("unsupported state version")
 
 func versionError(version uint32) error {
-	return fmt.Errorf("%w: %d, this program reads %d; use the version that recorded it", ErrVersion, version, Version)
+	return fmt.Errorf("%w %d: this program reads version %d; use the version that recorded it", ErrVersion, version, Version)
 }
 
-var errIncompleteState = errors.New("state: incomplete")
+var errIncompleteState = errors.New("state: cluster, graph or autoscaler state is missing")
 
-// snapshot is everything that later decisions depend on. It is stored in recordings
-// under the names of its fields.
+// snapshot holds everything that later decisions depend on. It is stored in recordings
+// under the Go names of its fields.
 type snapshot struct {
 	Chance []byte // state of the random number generator
 	Types  map[string]model.MachineType
-	Book   *placement.State // the cluster state
-	Graph  *dag.GraphState
-	Fleet  *autoscaler.State         // the autoscaler
-	Saves  []placement.JobWriteState // writes in flight
+	Book   *placement.State          // cluster state
+	Graph  *dag.GraphState           // dependency graph of waiting jobs
+	Fleet  *autoscaler.State         // autoscaler state
+	Saves  []placement.JobWriteState // job writes in flight
 }
 
-// encMode encodes times to the nanosecond.
+// encMode encodes map keys in a fixed order and times with nanosecond precision.
 var encMode = func() cbor.EncMode {
 	mode, err := cbor.EncOptions{Sort: cbor.SortCanonical, Time: cbor.TimeRFC3339NanoUTC}.EncMode()
 	if err != nil {
@@ -50,8 +50,8 @@
 	return mode
 }()
 
-// maxElements allows for as many machines and tasks as there may be; the decoder's own
-// limits are lower.
+// maxElements is the decoder's limit on array and map elements. It is high
+// enough for as many machines and tasks as there may be; the decoder's default limits are lower.
 const maxElements = 1 << 24
 
 var decMode = func() cbor.DecMode {
@@ -62,7 +62,8 @@
 	return mode
 }()
 
-// Export returns the state as of a moment, in nanoseconds since the start of the term.
+// Export returns the encoded state. atNs is the time of the export, in nanoseconds since the
+// start of the term.
 func (s *Scheduler) Export(atNs int64) (*recordpb.State, error) {
 	stored, err := s.snapshot()
 	if err != nil {
@@ -108,8 +109,8 @@
 	return stored, nil
 }
 
-// Import makes a scheduler that decides like the one whose state was exported. It
-// records nothing, and its events go through Decide.
+// Import returns a scheduler that makes the same decisions as the one whose state was
+// exported. It records nothing; the caller passes events to Decide.
 func Import(state *recordpb.State, log *slog.Logger) (*Scheduler, error) {
 	if state.Version != Version {
 		return nil, versionError(state.Version)
@@ -134,8 +135,7 @@
 	return s, nil
 }
 
-// restore replaces everything but the identity and the settings, which must be set
-// before.
+// restore sets everything but the identity and the settings, which must already be set.
 func (s *Scheduler) restore(stored snapshot) error {
 	if stored.Book == nil || stored.Graph == nil || stored.Fleet == nil {
 		return errIncompleteState
