--- a/internal/scheduler/apply.go
+++ b/internal/scheduler/apply.go
@@ -10,9 +10,9 @@
 	"github.com/marlwood/marlwood/internal/record/recordpb"
 )
 
-// apply is the only place where an event changes the state. It calls the handler of
-// the event's kind, at the event's moment by the scheduler's clock. Events of a kind
-// that this version doesn't know change nothing.
+// apply is the only place where an event changes the state. It calls the handler of the
+// event's kind with the event's time on the scheduler's clock. Events of a kind that this
+// version doesn't know change nothing.
 func (s *Scheduler) apply(event *recordpb.Event) (out outcome) { //nolint:gocyclo,funlen // one handler for each kind of event, nothing else
 	now := s.eventTime(event.AtNs)
 	switch body := event.What.(type) {
@@ -76,7 +76,7 @@
 	case *recordpb.Event_Moved:
 		s.applyJobMoved(now, body.Moved)
 
-	// Figures that also advance the state.
+	// Queries that also update the state.
 	case *recordpb.Event_Usage:
 		out.usage, out.usageMark = s.applyUsage(now)
 	case *recordpb.Event_Summary:
@@ -85,7 +85,8 @@
 	return out
 }
 
-// eventTime is a moment of an event by the scheduler's clock.
+// eventTime converts a time of an event, in nanoseconds since the start of the term, to the
+// scheduler's clock.
 func (s *Scheduler) eventTime(sinceStartNs int64) time.Time {
 	return s.origin.Add(time.Duration(sinceStartNs))
 }
@@ -105,7 +106,7 @@
 	s.cluster.TokenRenewed(renewed.Token, now)
 }
 
-// applyOwners replaces the pools' owners and has the machines probed that sent no
+// applyOwners replaces the pools' owners and makes them probe the machines that sent no
 // heartbeat in this term.
 func (s *Scheduler) applyOwners(event *recordpb.Owners) {
 	owners := make(map[model.Pool]string, len(event.Owners))
@@ -116,7 +117,6 @@
 	s.cluster.ProbeUnseen()
 }
 
-// applyLimits replaces the teams' limits.
 func (s *Scheduler) applyLimits(event *recordpb.Limits) {
 	limits := make(map[string]model.Size, len(event.Limits))
 	for _, limit := range event.Limits {
@@ -125,7 +125,6 @@
 	s.cluster.SetLimits(limits)
 }
 
-// applyConfig replaces the settings.
 func (s *Scheduler) applyConfig(event *recordpb.Config) {
 	var config Config
 	if err := json.Unmarshal(event.Json, &config); err != nil {
@@ -137,7 +136,7 @@
 	s.autoscaler.SetOptions(config.Fleet)
 }
 
-// applyAnswer updates the cluster state from an owner's answer to a sampling round.
+// applyAnswer updates the cluster state from a pool owner's answer to a sampling round.
 func (s *Scheduler) applyAnswer(now time.Time, answer *recordpb.Answer) {
 	if answer.Split {
 		s.cluster.SplitParts()
@@ -156,16 +155,16 @@
 	}
 }
 
-// applyExpire confirms the lease expiries that were reported before the leader last
-// checked that it leads, and names their machines.
+// applyExpire confirms the lease expiries that were reported before this controller last
+// checked that it is still the leader, and returns the names of the machines.
 func (s *Scheduler) applyExpire(now time.Time, event *recordpb.Expire) []string {
 	expired := s.cluster.ConfirmExpiries(s.eventTime(event.CheckedNs), now)
 	s.noteDecision(func(d *recordpb.Decided) { d.Expired = expired })
 	return expired
 }
 
-// applyPlace ends a sampling round: it completes the takeover if that is possible, and
-// places and preempts tasks.
+// applyPlace ends a sampling round: it completes the takeover if that is possible, places
+// tasks, and preempts tasks.
 func (s *Scheduler) applyPlace(now time.Time, event *recordpb.Place) (placed int, takeoverCompleted bool) {
 	takeoverCompleted = !s.cluster.Complete() && s.cluster.TryComplete()
 	s.noteDecision(func(d *recordpb.Decided) { d.Complete = takeoverCompleted })
@@ -174,8 +173,8 @@
 	return placed, takeoverCompleted
 }
 
-// applyResolveDependencies returns what is due in the graph of waiting jobs and passes
-// their priorities on to the jobs that they depend on.
+// applyResolveDependencies returns the actions that are due in the graph of waiting jobs,
+// and passes the priorities of waiting jobs on to the jobs that they depend on.
 func (s *Scheduler) applyResolveDependencies(now time.Time, event *recordpb.Graph) []dag.Action {
 	if event.Check {
 		s.graph.Check(s.isOpen)
@@ -199,7 +198,7 @@
 	return s.cluster.Usage(now), s.cluster.UsageMark(now)
 }
 
-// isOpen tells whether a job has an open record, as far as the cluster state knows.
+// isOpen reports whether the cluster state holds the job and it is not cancelled.
 func (s *Scheduler) isOpen(id string) bool {
 	job := s.cluster.Jobs().At(id)
 	return job != nil && !job.Cancelled
--- a/internal/scheduler/events.go
+++ b/internal/scheduler/events.go
@@ -1,7 +1,7 @@
 package scheduler
 
-// The methods in this file each submit one event. Those that report an outcome take
-// what the caller found when it carried a decision out.
+// Each method in this file submits one event. The methods that report an outcome pass on
+// the result of a decision that the caller carried out.
 
 import (
 	"encoding/json"
@@ -32,7 +32,8 @@
 	return nil
 }
 
-// TokenRenewed continues the term under a new fencing token of the same leadership.
+// TokenRenewed continues the term under a new fencing token: this controller is still
+// the leader.
 func (s *Scheduler) TokenRenewed(now time.Time, token uint64) {
 	s.submit(&recordpb.Event{
 		AtNs: s.eventOffset(now),
@@ -40,8 +41,8 @@
 	})
 }
 
-// SetOwners replaces the owners of the pools and has them probe the machines that sent
-// no heartbeat in this term.
+// SetOwners replaces the owners of the pools, and makes the owners probe the machines
+// that sent no heartbeat in this term.
 func (s *Scheduler) SetOwners(now time.Time, owners []*peerspb.KindOwner) {
 	s.submit(&recordpb.Event{
 		AtNs: s.eventOffset(now),
@@ -49,17 +50,17 @@
 	})
 }
 
-// StoredRecords are the records that an earlier leader left.
+// StoredRecords holds the records that an earlier leader stored.
 type StoredRecords struct {
 	Machines       []store.Item // one for each machine
-	LaunchRequests []store.Item // unresolved
-	Jobs           []store.Item // waiting ones first, then open ones
-	BitmapShards   []store.Item // of completion bitmaps that are stored in shards
+	LaunchRequests []store.Item // unresolved ones
+	Jobs           []store.Item // waiting jobs first, then open jobs
+	BitmapShards   []store.Item // shards of completion bitmaps
 	Drains         []store.Item
 	UsageMark      []byte // watermark of usage accounting; nil if usage is not accounted
 }
 
-// Load restores the state from the records that an earlier leader left.
+// Load restores the state from the records that an earlier leader stored.
 func (s *Scheduler) Load(now time.Time, records StoredRecords) {
 	s.submit(&recordpb.Event{
 		AtNs: s.eventOffset(now),
@@ -87,7 +88,7 @@
 	return nil
 }
 
-// SetLimits replaces the teams' limits on all that they use.
+// SetLimits replaces the teams' limits on the CPUs and GPUs that they use in total.
 func (s *Scheduler) SetLimits(now time.Time, limits map[string]model.Size) {
 	teamLimits := &recordpb.Limits{}
 	for _, team := range slices.Sorted(maps.Keys(limits)) {
@@ -111,8 +112,8 @@
 	})
 }
 
-// Resync replaces the jobs by a whole list of their records, after changes were missed.
-// A job without a record was cancelled.
+// Resync replaces the jobs by a complete list of their records, after changes were
+// missed. A job that is not in the list is treated as cancelled.
 func (s *Scheduler) Resync(now time.Time, jobs []store.Item) {
 	s.submit(&recordpb.Event{
 		AtNs: s.eventOffset(now),
@@ -120,7 +121,7 @@
 	})
 }
 
-// Change applies changes of jobs' records in their order.
+// Change applies changes of job records in the given order.
 func (s *Scheduler) Change(now time.Time, changes []store.Event) {
 	items := make([]*recordpb.Item, 0, len(changes))
 	for _, change := range changes {
@@ -136,9 +137,9 @@
 	})
 }
 
-// Answer applies an owner's answer to a sampling round. trusted tells that a lease expiry
-// may be believed even of a machine that was not yet current; split that every controller
-// reads completion bitmaps that are stored in shards.
+// Answer applies a pool owner's answer to a sampling round. If trusted is set, a lease
+// expiry counts even for a machine that was not yet current under the fencing token. split
+// reports whether every controller can read completion bitmaps that are stored in shards.
 func (s *Scheduler) Answer(now time.Time, member string, response *peerspb.RoundResponse, trusted, split bool) {
 	s.submit(&recordpb.Event{
 		AtNs: s.eventOffset(now),
@@ -153,8 +154,9 @@
 	})
 }
 
-// Expire confirms the lease expiries that were reported before checked, the moment of the
-// last check that this leader leads, and returns their machines.
+// Expire confirms the lease expiries that were reported before checked, and returns the
+// names of the machines. checked is the time of the last check that this controller is
+// still the leader.
 func (s *Scheduler) Expire(now, checked time.Time) []string {
 	return s.submit(&recordpb.Event{
 		AtNs: s.eventOffset(now),
@@ -162,7 +164,7 @@
 	}).expired
 }
 
-// RequestSamples starts a sampling round: it returns what is asked of the owners.
+// RequestSamples starts a sampling round and returns the requests to the pools' owners.
 func (s *Scheduler) RequestSamples(now time.Time) []*peerspb.Want {
 	return s.submit(&recordpb.Event{
 		AtNs: s.eventOffset(now),
@@ -171,8 +173,8 @@
 }
 
 // Place ends a sampling round: it completes the takeover if that is possible, places tasks
-// on the sampled machines, and preempts others where that frees capacity. It returns how
-// many tasks it placed, and whether this round completed the takeover.
+// on the sampled machines, and preempts tasks where that frees capacity for others. It
+// returns how many tasks it placed, and whether this round completed the takeover.
 func (s *Scheduler) Place(now time.Time, samples []*peerspb.Sample) (placed int, takeoverCompleted bool) {
 	out := s.submit(&recordpb.Event{
 		AtNs: s.eventOffset(now),
@@ -181,7 +183,7 @@
 	return out.placed, out.takeoverCompleted
 }
 
-// DueWrites returns the job records that are due to be written, each with at most maxParts
+// DueWrites returns the job records that must be written now, each with at most maxParts
 // shards of its completion bitmap.
 func (s *Scheduler) DueWrites(now time.Time, maxParts int) []*placement.JobWrite {
 	return s.submit(&recordpb.Event{
@@ -190,8 +192,8 @@
 	}).writes
 }
 
-// WriteDone reports the outcome of a write: the revision of the stored record and, if the
-// record had to be read after a conflict, the record as it was found.
+// WriteDone reports the outcome of a write of a job's record. revision is that of the
+// stored record. current is the record that was read after a conflict, or nil.
 func (s *Scheduler) WriteDone(now time.Time, write *placement.JobWrite, outcome recordpb.SaveDone_Outcome, revision uint64, current *store.Item) {
 	done := &recordpb.SaveDone{Number: write.Number, Outcome: outcome, Stamp: revision}
 	if current != nil {
@@ -203,7 +205,8 @@
 	})
 }
 
-// MachinesRecorded reports that machines' records were stored with a revision.
+// MachinesRecorded reports that the records of the named machines were stored with a
+// revision.
 func (s *Scheduler) MachinesRecorded(now time.Time, names []string, revision uint64) {
 	s.submit(&recordpb.Event{
 		AtNs: s.eventOffset(now),
@@ -211,8 +214,8 @@
 	})
 }
 
-// ExpiredMachineRecords returns up to n expired machines whose records are to be deleted,
-// with the records' revisions.
+// ExpiredMachineRecords returns up to n machines whose leases expired and whose records
+// are to be deleted, with the records' revisions.
 func (s *Scheduler) ExpiredMachineRecords(now time.Time, n int) map[string]uint64 {
 	return s.submit(&recordpb.Event{
 		AtNs: s.eventOffset(now),
@@ -220,7 +223,8 @@
 	}).recordRevisions
 }
 
-// MachineRecordsDeleted reports that machine records of these revisions were deleted.
+// MachineRecordsDeleted reports that the machine records with these revisions were
+// deleted.
 func (s *Scheduler) MachineRecordsDeleted(now time.Time, revisions map[string]uint64) {
 	deleted := &recordpb.HostsDropped{Names: sortedKeys(revisions)}
 	for _, name := range deleted.Names {
@@ -232,8 +236,9 @@
 	})
 }
 
-// Plan looks after the machines: it moves tasks off those that are to be emptied,
-// quarantines faulty ones, and decides which are launched and terminated.
+// Plan manages the set of machines: it moves tasks off the machines that are to be
+// emptied, quarantines faulty machines, and returns the launches and terminations to carry
+// out.
 func (s *Scheduler) Plan(now time.Time) []autoscaler.Action {
 	return s.submit(&recordpb.Event{
 		AtNs: s.eventOffset(now),
@@ -249,8 +254,8 @@
 	})
 }
 
-// LaunchDone reports the outcome of a launch request. It returns whether the request is
-// resolved, so that its record can be deleted.
+// LaunchDone reports the outcome of a launch request and the names of the launched
+// machines. It returns whether the request is resolved, so that its record can be deleted.
 func (s *Scheduler) LaunchDone(now time.Time, request string, result autoscaler.Result, names []string) bool {
 	return s.submit(&recordpb.Event{
 		AtNs: s.eventOffset(now),
@@ -258,7 +263,8 @@
 	}).requestResolved
 }
 
-// TerminateDone reports the outcome of a termination; with ok the machines are gone.
+// TerminateDone reports the outcome of a termination. If ok is set, the machines no longer
+// exist.
 func (s *Scheduler) TerminateDone(now time.Time, names []string, ok bool) {
 	s.submit(&recordpb.Event{
 		AtNs: s.eventOffset(now),
@@ -287,8 +293,9 @@
 	}).terminate
 }
 
-// ResolveDependencies returns what is due for jobs that wait for others. With check, the
-// outcomes of dependencies without a known open record are looked up.
+// ResolveDependencies returns the actions that are due for jobs that wait for others. If
+// check is set, it also requests the outcome of each dependency that has no known open or
+// waiting record.
 func (s *Scheduler) ResolveDependencies(now time.Time, check bool) []dag.Action {
 	return s.submit(&recordpb.Event{
 		AtNs: s.eventOffset(now),
@@ -296,7 +303,8 @@
 	}).dependencyActions
 }
 
-// JobEnded reports the stage that a dependency ended in; without ok it could not be read.
+// JobEnded reports the stage that was read for a dependency. If ok is false, the stage
+// could not be read.
 func (s *Scheduler) JobEnded(now time.Time, id string, ok bool, stage model.Stage) {
 	s.submit(&recordpb.Event{
 		AtNs: s.eventOffset(now),
@@ -304,8 +312,9 @@
 	})
 }
 
-// JobMoved reports the outcome of a release or a cancellation. revision is that of the
-// waiting record now, 0 if it is unknown; gone tells that there is none any more.
+// JobMoved reports the outcome of a release or a cancellation of a waiting job. revision is
+// the current revision of the waiting record, or 0 if it is unknown; gone reports whether
+// the waiting record no longer exists.
 func (s *Scheduler) JobMoved(now time.Time, action dag.Action, ok bool, revision uint64, gone bool) {
 	s.submit(&recordpb.Event{
 		AtNs: s.eventOffset(now),
@@ -319,9 +328,9 @@
 	})
 }
 
-// Usage accounts for what teams have used until now and returns the ledger, nil if usage
-// is not accounted, and the watermark to store. The ledger belongs to the scheduler: the
-// caller may read it and mark what it has written.
+// Usage accounts for the teams' usage until now. It returns the ledger, or nil if usage is
+// not accounted, and the watermark to store. The ledger belongs to the scheduler: the
+// caller may read it and mark the entries that it has written.
 func (s *Scheduler) Usage(now time.Time) (*accounting.Ledger, accounting.Watermark) {
 	out := s.submit(&recordpb.Event{
 		AtNs: s.eventOffset(now),
@@ -330,7 +339,7 @@
 	return out.usage, out.usageMark
 }
 
-// Summary counts jobs, tasks and machines.
+// Summary returns counts of jobs, tasks and machines.
 func (s *Scheduler) Summary(now time.Time) placement.Summary {
 	return s.submit(&recordpb.Event{
 		AtNs: s.eventOffset(now),
@@ -338,7 +347,7 @@
 	}).summary
 }
 
-// storedItems converts stored records to the form that events carry.
+// storedItems converts stored records to the message type that events carry.
 func storedItems(records []store.Item) []*recordpb.Item {
 	items := make([]*recordpb.Item, 0, len(records))
 	for _, record := range records {
@@ -347,5 +356,5 @@
 	return items
 }
 
-// eventOffset dates an event: nanoseconds since the start of the term.
+// eventOffset returns the time of an event as nanoseconds since the start of the term.
 func (s *Scheduler) eventOffset(now time.Time) int64 { return int64(s.sinceStart(now)) }
--- a/internal/scheduler/explain.go
+++ b/internal/scheduler/explain.go
@@ -11,8 +11,8 @@
 	"github.com/marlwood/marlwood/internal/placement"
 )
 
-// Explain tells why a job's tasks are not all running; nil if the job is neither open
-// nor waiting.
+// Explain returns the reasons why a job's tasks are not all running, or nil if the job is
+// neither open nor waiting.
 func (s *Scheduler) Explain(now time.Time, id string) *operatorspb.ExplainResponse {
 	moment := s.schedulerTime(now)
 	if record, unmet, ok := s.graph.WaitingJob(id); ok && s.cluster.Jobs().At(id) == nil {
@@ -39,7 +39,8 @@
 	}
 }
 
-// explainCloud adds what is known of machines that could be launched or are booting.
+// explainCloud adds, for each pool that the job may run on, whether machines are booting or
+// the cloud refuses to launch more. If the job lacks capacity, it also adds these as reasons.
 func (s *Scheduler) explainCloud(id string, out *operatorspb.ExplainResponse, now time.Time) {
 	spec := s.cluster.Jobs().At(id).Spec
 	supply := s.cloudSupply(out.Rooms, spec.Spot, now)
@@ -72,23 +73,24 @@
 	}
 }
 
-// lacksCapacity tells whether missing capacity is among the reasons.
+// lacksCapacity reports whether missing capacity is among the reasons.
 func lacksCapacity(reasons []*operatorspb.Reason) bool {
 	return slices.ContainsFunc(reasons, func(reason *operatorspb.Reason) bool {
 		return reason.Code == placement.CodeNoCapacity || reason.Code == placement.CodeNoZoneCapacity
 	})
 }
 
-// cloudSupply is what the cloud may bring of the pools that a job may run on.
+// cloudSupply describes which machines the cloud may add to the pools that a job may run on.
 type cloudSupply struct {
-	booting   []string  // pools of which machines are booting
-	bootDue   time.Time // when the first of these is due
-	refused   []string  // pools of which the cloud has no more machines
-	retryAt   time.Time // when the first of these is requested again
-	available bool      // some pool is not refused
+	booting   []string  // pools with booting machines
+	bootDue   time.Time // when the first of the booting machines is expected
+	refused   []string  // pools for which the cloud has no more machines
+	retryAt   time.Time // when machines are next requested for one of the refused pools
+	available bool      // at least one pool is not refused
 }
 
-// cloudSupply asks the autoscaler about the pools in rows and completes the rows.
+// cloudSupply returns what the autoscaler knows about the pools in rows, and sets the boot
+// and refusal fields of the rows.
 func (s *Scheduler) cloudSupply(rows []*operatorspb.Room, spot bool, now time.Time) cloudSupply {
 	var supply cloudSupply
 	for _, row := range rows {
@@ -115,8 +117,9 @@
 	return supply
 }
 
-// refusedUntil tells until when no more machines of a pool are requested, neither on
-// demand nor, for a job that may run there, spot.
+// refusedUntil reports whether no more machines of a pool are requested for now, and until
+// when. For a job that may run on spot machines, both on-demand and spot machines must be
+// refused, and the earlier of the two times is returned.
 func (s *Scheduler) refusedUntil(pool model.Pool, spot bool, now time.Time) (until time.Time, refused bool) {
 	until, refused = s.autoscaler.RefusedUntil(pool, false, now)
 	if !spot || !refused {
--- a/internal/scheduler/operators.go
+++ b/internal/scheduler/operators.go
@@ -10,11 +10,11 @@
 	"github.com/marlwood/marlwood/internal/placement"
 )
 
-// The methods in this file answer operators' queries. They change nothing, so they
+// The methods in this file answer operators' queries. They do not change the state, so they
 // submit no events.
 
-// JobRows returns a page of the open and waiting jobs whose IDs follow after, and
-// whether there are more.
+// JobRows returns a page of the open and waiting jobs whose IDs are greater than after, in
+// the order of their IDs, and reports whether there are more.
 func (s *Scheduler) JobRows(now time.Time, after string) (rows []*operatorspb.Job, more bool) {
 	moment := s.schedulerTime(now)
 	rows, more = s.cluster.JobRows(after, moment)
@@ -59,8 +59,8 @@
 	return row
 }
 
-// NodeRows returns a page of the machines whose names follow after, and whether there
-// are more.
+// NodeRows returns a page of the machines whose names are greater than after, and reports
+// whether there are more.
 func (s *Scheduler) NodeRows(now time.Time, after string) ([]*operatorspb.Node, bool) {
 	return s.cluster.MachineRows(after, s.schedulerTime(now))
 }
@@ -73,20 +73,21 @@
 	return s.cluster.DrainRows(s.schedulerTime(now))
 }
 
-// DrainRow returns the progress of one drain; nil if there is none of this target.
+// DrainRow returns the progress of the drain of a target, or nil if there is none.
 func (s *Scheduler) DrainRow(now time.Time, target string) *operatorspb.Drain {
 	return s.cluster.DrainRow(target, s.schedulerTime(now))
 }
 
-// DrainCheck returns how many machines a drain would cover, and the tasks for which it
-// would leave no capacity.
+// DrainCheck returns how many machines a drain would cover, and the jobs for whose tasks it
+// would leave too little capacity. It does not start the drain.
 func (s *Scheduler) DrainCheck(now time.Time, drain *placement.Drain) (covered int, misfits []placement.Misfit) {
 	moment := s.schedulerTime(now)
 	canLaunch := func(pool model.Pool, spot bool) bool { return s.autoscaler.CanLaunch(pool, spot, moment) }
 	return s.cluster.DrainCheck(drain, moment, canLaunch)
 }
 
-// Status summarizes the cluster in a few figures.
+// Status returns a summary of the cluster: counts of machines, jobs and tasks, the CPUs in
+// use, and how long this controller has been the leader.
 func (s *Scheduler) Status(now time.Time) *operatorspb.StatusResponse {
 	counts := s.cluster.Counts()
 	return &operatorspb.StatusResponse{
@@ -105,8 +106,8 @@
 	}
 }
 
-// Blockers returns the tasks that hold the capacity which a job lacks; nil if the job
-// is not open.
+// Blockers returns the tasks that hold the capacity that a job lacks, or nil if the job is
+// not open.
 func (s *Scheduler) Blockers(now time.Time, id string) *operatorspb.BlockersResponse {
 	return s.cluster.Blockers(id, s.schedulerTime(now))
 }
--- a/internal/scheduler/recording.go
+++ b/internal/scheduler/recording.go
@@ -10,8 +10,8 @@
 	"github.com/marlwood/marlwood/internal/record/recordpb"
 )
 
-// applyCollecting applies an event, collects the decisions that it leads to and chains
-// them into the hash.
+// applyCollecting applies an event, returns the decisions that it leads to, and adds them
+// to the chained hash.
 func (s *Scheduler) applyCollecting(event *recordpb.Event) (outcome, *recordpb.Decided) {
 	s.decisions = &recordpb.Decided{}
 	out := s.apply(event)
@@ -22,7 +22,7 @@
 	return out, decisions
 }
 
-// noteDecision adds to the decisions while they are collected.
+// noteDecision calls add with the decisions if they are being collected.
 func (s *Scheduler) noteDecision(add func(decisions *recordpb.Decided)) {
 	if s.decisions != nil {
 		add(s.decisions)
@@ -32,11 +32,11 @@
 // Hash returns the hash chained over the decisions since the last recorded state.
 func (s *Scheduler) Hash() uint64 { return s.decisionHash }
 
-// Chain sets the hash to continue from, after a state was imported in the middle of a
-// recording.
+// Chain sets the hash that the next decisions are chained to. It is used after a state
+// was imported from the middle of a recording.
 func (s *Scheduler) Chain(hash uint64) { s.decisionHash = hash }
 
-// extendHash chains decisions to a hash.
+// extendHash returns the hash of decisions, seeded with the previous hash of the chain.
 func extendHash(hash uint64, decisions *recordpb.Decided) uint64 {
 	encoded, err := marshalDeterministic(decisions)
 	if err != nil {
@@ -48,13 +48,13 @@
 	return digest.Sum64()
 }
 
-// marshalDeterministic encodes equal messages as equal bytes.
+// marshalDeterministic encodes a message; equal messages have equal encodings.
 func marshalDeterministic(message proto.Message) ([]byte, error) {
 	return proto.MarshalOptions{Deterministic: true}.Marshal(message)
 }
 
-// addOutcome adds to the decisions what the caller is to carry out. Orders and what
-// handlers note themselves are in it already.
+// addOutcome adds to the decisions what the caller has to carry out. The orders, and what
+// handlers added with noteDecision, are already included.
 func addOutcome(decisions *recordpb.Decided, out outcome) {
 	addCloudActions(decisions, out.cloudActions)
 	addWrites(decisions, out.writes)
@@ -89,8 +89,8 @@
 	}
 }
 
-// hashSampleRequests stands for the sample requests in the decisions: they are too
-// many to be recorded.
+// hashSampleRequests returns a hash of the sample requests. Decisions contain the hash
+// only, because the requests are too many to be recorded.
 func hashSampleRequests(requests []*peerspb.Want) uint64 {
 	digest := xxhash.New()
 	for _, request := range requests {
@@ -102,8 +102,8 @@
 	return digest.Sum64()
 }
 
-// launchDecision describes a launch request whose record is to be stored, or which is
-// to be sent.
+// launchDecision returns the decision about a launch request: to send it to the cloud if
+// sent is set, otherwise to store its record.
 func launchDecision(request *autoscaler.LaunchRequest, sent bool) *recordpb.Rental {
 	return &recordpb.Rental{
 		Charter: request.Name,
@@ -115,7 +115,7 @@
 	}
 }
 
-// recordState records the present state, from which a new chain of decisions starts.
+// recordState records the current state and starts a new chain of decision hashes.
 func (s *Scheduler) recordState(atNs int64) error {
 	state, err := s.Export(atNs)
 	if err != nil {
--- a/internal/scheduler/records.go
+++ b/internal/scheduler/records.go
@@ -16,11 +16,11 @@
 
 // This file holds the handlers of events about records in the key-value store.
 
-// jobWriteInterval is the least time between two writes of a job's record.
+// jobWriteInterval is the minimum time between two writes of a job's record.
 const jobWriteInterval = time.Second
 
-// applyLoaded restores what an earlier leader stored. Machines come before jobs, whose
-// tasks run on them, and drains after both.
+// applyLoaded restores what an earlier leader stored. Machines are loaded before jobs, whose
+// tasks run on them, and drains are loaded after both.
 func (s *Scheduler) applyLoaded(now time.Time, loaded *recordpb.Loaded) {
 	s.loadMachines(now, loaded.Hosts)
 	s.loadLaunchRequests(now, loaded.Charters)
@@ -32,8 +32,8 @@
 	s.cluster.LoadUsage(loaded.Usage)
 }
 
-// loadMachines adds the machines that have a record. One with an unreadable record is
-// added by its name: it may run tasks.
+// loadMachines adds the machines that have a record. A machine with an unreadable record is
+// added by its name, because it may run tasks.
 func (s *Scheduler) loadMachines(now time.Time, items []*recordpb.Item) {
 	for _, item := range items {
 		var machine machinerecords.Registration
@@ -62,8 +62,8 @@
 	}
 }
 
-// bitmapShardsByJob reads the shards of completion bitmaps, by job and by the shard's
-// name. Their keys end in JOB/SHARD. Shards that cannot be read are left out.
+// bitmapShardsByJob returns the shards of completion bitmaps by job and shard name. Their
+// keys end in JOB/SHARD. Shards that cannot be read are left out.
 func bitmapShardsByJob(items []*recordpb.Item) map[string]map[string]string {
 	shards := map[string]map[string]string{}
 	for _, item := range items {
@@ -82,9 +82,8 @@
 	return shards
 }
 
-// applyJobRecord adds or updates the job of an open or waiting record. The records of
-// waiting jobs are listed first, and a job moves from there to the open ones, so none
-// is missed.
+// applyJobRecord adds or updates the job of an open or waiting record. Waiting records are
+// read before open records, and a job only moves from waiting to open, so none is missed.
 func (s *Scheduler) applyJobRecord(now time.Time, item *recordpb.Item, bitmapShards map[string]map[string]string) {
 	if id, waits := strings.CutPrefix(item.Key, placement.WaitPrefix); waits {
 		var record placement.Record
@@ -101,8 +100,8 @@
 	}
 }
 
-// applyChanged updates the jobs whose records changed. A whole list also cancels the
-// jobs that are missing from it.
+// applyChanged updates the jobs whose records changed. If the event holds a complete list,
+// jobs that are missing from it are cancelled.
 func (s *Scheduler) applyChanged(now time.Time, changed *recordpb.Changed) {
 	for _, item := range changed.Items {
 		if item.Deleted {
@@ -124,7 +123,8 @@
 	}
 }
 
-// cancelMissingJobs cancels the jobs that have no record in a whole list.
+// cancelMissingJobs cancels the open jobs, and removes the waiting jobs, that have no record
+// in a complete list.
 func (s *Scheduler) cancelMissingJobs(items []*recordpb.Item) {
 	present := make(map[string]bool, len(items))
 	for _, item := range items {
@@ -158,8 +158,8 @@
 	}
 }
 
-// applyDueWrites returns the job records to write and keeps them until their outcome is
-// known.
+// applyDueWrites returns the job records to write, and keeps them in writesInFlight until
+// their outcome is known.
 func (s *Scheduler) applyDueWrites(now time.Time, event *recordpb.Saves) []*placement.JobWrite {
 	writes := s.cluster.DueWrites(now, jobWriteInterval, int(event.MaxParts))
 	for _, write := range writes {
@@ -168,7 +168,7 @@
 	return writes
 }
 
-// applyWriteDone ends a write of a job's record.
+// applyWriteDone applies the outcome of a write of a job's record.
 func (s *Scheduler) applyWriteDone(now time.Time, done *recordpb.SaveDone) {
 	write := s.writesInFlight[done.Number]
 	if write == nil {
@@ -194,7 +194,8 @@
 	s.cluster.WriteDone(write, stored, done.Stamp)
 }
 
-// jobDone tells the graph of waiting jobs that a job's final record is stored.
+// jobDone reports to the dependency graph that a job's final record is stored, and how long
+// the job took.
 func (s *Scheduler) jobDone(now time.Time, id string) {
 	s.log.Debug("job done", "job", id)
 	if job := s.cluster.Jobs().At(id); job != nil {
@@ -221,7 +222,7 @@
 	}
 }
 
-// sortedKeys returns a map's keys in order.
+// sortedKeys returns the keys of a map in ascending order.
 func sortedKeys(revisions map[string]uint64) []string {
 	return slices.Sorted(maps.Keys(revisions))
 }
--- a/internal/scheduler/scaling.go
+++ b/internal/scheduler/scaling.go
@@ -8,7 +8,8 @@
 	"github.com/marlwood/marlwood/internal/record/recordpb"
 )
 
-// applyPlan decides which machines are to be launched, cordoned and terminated.
+// applyPlan reconciles gangs, empties and quarantines machines, and returns the launches
+// and terminations that the autoscaler decides on. It cordons the machines to terminate.
 func (s *Scheduler) applyPlan(now time.Time) []autoscaler.Action {
 	s.cluster.ReconcileGangs(now)
 	s.cluster.Evacuate(now)
@@ -28,7 +29,8 @@
 	}
 }
 
-// cordonTerminating keeps tasks off the machines that are about to be terminated.
+// cordonTerminating cordons the machines that are about to be terminated, so that no task
+// is placed on them.
 func (s *Scheduler) cordonTerminating(actions []autoscaler.Action) {
 	for _, action := range actions {
 		for _, name := range action.Terminate {
@@ -53,9 +55,9 @@
 	}
 }
 
-// applyListed reconciles the cloud's list with the cluster state and names the machines
-// to terminate: those that failed, and those that are not listed any more and sent no
-// heartbeat for a while.
+// applyListed reconciles the cloud's list with the cluster state and returns the machines
+// to terminate: those that failed, and those that are no longer listed and sent no heartbeat
+// for longer than missingAfter.
 func (s *Scheduler) applyListed(now time.Time, list *recordpb.Listed) []string {
 	machines := make([]autoscaler.CloudMachine, 0, len(list.Machines))
 	listed := make(map[string]bool, len(list.Machines))
@@ -70,13 +72,13 @@
 	return terminate
 }
 
-// missingAfter is how long a machine that is not listed may send no heartbeat before it
+// missingAfter returns how long a machine that is not listed may send no heartbeat before it
 // counts as missing.
 //
-// Guard: a takeover waits for every machine with a record. Machines that were preempted
-// or died while there was no leader are terminated, which proves that they are gone, as
-// soon as one that is up would have been heard of: an agent sends a heartbeat by itself
-// within that time, and is probed besides.
+// Guard: a takeover waits for every machine with a record, including machines that were
+// preempted or died while there was no leader. They are terminated, which proves that they
+// are gone, as soon as a running machine would have sent a heartbeat: an agent sends one on
+// its own within that time, and is also probed.
 func (s *Scheduler) missingAfter() time.Duration {
 	if !s.cluster.Complete() && s.config.Greeted > 0 {
 		return s.config.Greeted
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -1,14 +1,14 @@
-// Package scheduler is the deterministic state machine with which a leader schedules
-// its cluster. It combines the cluster state (package placement), the graph of jobs
-// that wait for others (package dag) and the autoscaler.
+// Package scheduler is the deterministic state machine that the leader runs to schedule
+// its cluster. It combines the cluster state (package placement), the dependency graph
+// of waiting jobs (package dag) and the autoscaler.
 //
 // # Contract
 //
-// Events go in, decisions come out. An event is a protobuf message (recordpb.Event)
-// with the moment at which it happened; every method that changes a Scheduler builds
-// one and submits it. What comes out are sample requests, orders for machines, records
-// to write, and calls to the cloud's API. A Scheduler performs no input or output: the
-// caller carries the decisions out and reports their outcome with another event.
+// A Scheduler takes events and returns decisions. An event is a protobuf message
+// (recordpb.Event) with the time at which it happened; every method that changes a
+// Scheduler builds one and submits it. Decisions are sample requests, orders for
+// machines, records to write, and calls to the cloud's API. A Scheduler performs no I/O:
+// the caller carries the decisions out and reports their outcome with another event.
 //
 //	                events                       decisions
 //	controller ───────────────▶  Scheduler  ───────────────▶  controller
@@ -16,28 +16,28 @@
 //	           changed job records           orders
 //	           outcomes of writes and calls  writes and calls
 //
-// The same events lead to the same decisions. Three rules hold that up:
+// The same events lead to the same decisions. Three rules ensure this:
 //
-//   - apply is the only place where an event changes anything.
-//   - Time comes from the event and chance from a seeded generator, which is part of
-//     the state. Nothing reads a clock.
-//   - Whatever iterates over a map while it decides does so in a fixed order, unless
-//     the result is the same in every order.
+//   - apply is the only place where an event changes the state.
+//   - Time comes from the event, and random numbers come from a seeded generator, which
+//     is part of the state. Nothing reads a clock.
+//   - Code that makes decisions iterates over maps in a fixed order, unless the result is
+//     the same in every order.
 //
-// Hence a recording of a state and the events that follow it holds everything that the
-// leader did: package replay imports the state and passes the events to Decide, and
-// compares the hash chained over the decisions.
+// A recording of a state and of the events that follow it is therefore enough to repeat
+// everything that the leader did: package replay imports the state, passes the events to
+// Decide, and compares the hash chained over the decisions.
 //
-// # Who calls it
+// # Usage
 //
-// A controller that becomes leader makes a Scheduler with New, passes it the stored
+// A controller that becomes leader creates a Scheduler with New, passes it the stored
 // records with Load, and from then on calls it for every event until its term ends. It
-// carries out what RequestSamples, Place, DueWrites, Plan, ResolveDependencies and
+// carries out the decisions that RequestSamples, Place, DueWrites, Plan, ResolveDependencies and
 // ReconcileList return, and reports back with Answer, WriteDone, RequestRecorded,
-// LaunchDone, TerminateDone and JobMoved. Orders are not returned by an event; they
-// wait in Orders until the machine's owner acknowledges them.
+// LaunchDone, TerminateDone and JobMoved. Orders are not returned by an event:
+// Orders returns them until the machine's owner acknowledges them.
 //
-// Queries change nothing, so they are no events and are not recorded.
+// Queries do not change the state. They submit no events and are not recorded.
 package scheduler
 
 import (
@@ -59,28 +59,28 @@
 // Program is the version of marlwood.
 const Program = "0.5.0"
 
-// Config is what a scheduler decides by. It is stored in recordings under the names of
-// its fields.
+// Config holds the settings that a scheduler decides by. It is stored in recordings
+// under the Go names of its fields.
 type Config struct {
 	Placement placement.Options
 	Fleet     autoscaler.Options
 	Teams     map[string]model.Team
-	Errors    int           // failed tasks after which a machine is suspected to be faulty
-	Unheard   time.Duration // a machine that sent no heartbeat for longer may be missing
-	Greeted   time.Duration // the same while a new leader probes its machines; 0: as Unheard
+	Errors    int           // number of failed tasks after which a machine is suspected to be faulty
+	Unheard   time.Duration // a machine that sent no heartbeat for longer than this may be missing
+	Greeted   time.Duration // replaces Unheard while a new leader probes its machines; 0: Unheard applies
 	Settings  Settings      // all settings in force, for readers of a recording
 }
 
-// Settings are the platform's and the operators' settings.
+// Settings holds the platform's and the operators' settings.
 type Settings struct {
 	Platform *settings.Platform
 	Operator *settings.Operator
 }
 
-// Identity names the leader's term whose decisions these are.
+// Identity identifies the leader's term in which decisions are made.
 type Identity struct {
-	Member string // the controller
-	Boot   string // the controller's process
+	Member string // name of the controller
+	Boot   string // identifies the controller's process
 	Token  uint64 // fencing token
 }
 
@@ -88,32 +88,32 @@
 type Recorder interface {
 	// Begin starts a stream, named by record.StreamName.
 	Begin(stream string)
-	// Wanted tells whether frames are to be recorded, and whether a state must be
-	// recorded before the next of them.
+	// Wanted is called once for each event. It reports whether frames are to be recorded,
+	// and whether a state must be recorded before the next frame.
 	Wanted() (frames, state bool)
-	// Record stores a frame and numbers it.
+	// Record assigns a frame its number and stores it.
 	Record(f *recordpb.Frame)
 }
 
-// Params are what a scheduler starts from.
+// Params holds the arguments of New.
 type Params struct {
 	Config   Config
 	Identity Identity
 	Types    map[string]model.MachineType // machine types by name
-	Seed     [2]uint64                    // of the random numbers
+	Seed     [2]uint64                    // of the random number generator
 	Now      time.Time                    // monotonic clock at the start of the term
-	WallTime time.Time                    // wall clock at the same moment
+	WallTime time.Time                    // wall clock at the same time
 	Recorder Recorder                     // nil: nothing is recorded
 	Log      *slog.Logger
 }
 
-// Scheduler is the state of one leader's term. Events change it, queries read it. It
-// is not safe for concurrent use.
+// Scheduler is the scheduling state of one leader's term. Events change it and queries
+// read it. It is not safe for concurrent use.
 type Scheduler struct {
 	config       Config
 	identity     Identity
-	startedAt    time.Time // start of the term by the caller's monotonic clock
-	origin       time.Time // the same moment by the scheduler's own clock; see schedulerTime
+	startedAt    time.Time // start of the term on the caller's monotonic clock
+	origin       time.Time // start of the term on the scheduler's own clock; see schedulerTime
 	log          *slog.Logger
 	randomSource *rand.PCG
 	recorder     Recorder // nil: nothing is recorded
@@ -122,13 +122,13 @@
 	graph          *dag.Graph
 	autoscaler     *autoscaler.Autoscaler
 	types          map[string]model.MachineType
-	writesInFlight map[uint64]*placement.JobWrite // by number
+	writesInFlight map[uint64]*placement.JobWrite // by write number
 
-	decisions    *recordpb.Decided // made by the event that is being applied; nil: they are not collected
-	decisionHash uint64            // chained over the decisions since the last recorded state
+	decisions    *recordpb.Decided // decisions of the event that is being applied; nil: they are not collected
+	decisionHash uint64            // hash chained over the decisions since the last recorded state
 }
 
-// New makes the scheduler of a term that starts now.
+// New returns a scheduler for a term that starts at params.Now.
 func New(params Params) *Scheduler {
 	s := &Scheduler{
 		config:         params.Config,
@@ -150,8 +150,8 @@
 	return s
 }
 
-// placementOptions are the cluster state's options, completed by those that are not
-// stored.
+// placementOptions returns the cluster state's options: the stored ones, and the random
+// number generator, the log and the order callback, which are not stored.
 func (s *Scheduler) placementOptions() placement.Options {
 	options := s.config.Placement
 	options.Rand = rand.New(s.randomSource)
@@ -164,39 +164,39 @@
 	return options
 }
 
-// schedulerTime converts a moment of the caller's monotonic clock to the scheduler's
-// clock, which started with the wall clock's time at the start of the term and never
-// jumps. The cluster state, the graph and the autoscaler know this clock only.
+// schedulerTime converts a time of the caller's monotonic clock to the scheduler's
+// clock, which starts at the wall clock's time at the start of the term and never
+// jumps. The cluster state, the graph and the autoscaler use this clock only.
 func (s *Scheduler) schedulerTime(now time.Time) time.Time { return s.origin.Add(s.sinceStart(now)) }
 
-// sinceStart is the time since the start of the term, by which events are dated.
+// sinceStart returns the time since the start of the term. Events carry this offset.
 func (s *Scheduler) sinceStart(now time.Time) time.Duration { return now.Sub(s.startedAt) }
 
-// outcome is what an event returns to the caller. Each kind of event sets its own
-// fields.
+// outcome holds what an event returns to the caller. Each kind of event sets its own
+// fields; the method that submits the event is given in parentheses.
 type outcome struct {
-	// sampleRequests ask machines' owners for candidates (RequestSamples).
+	// sampleRequests ask the pools' owners for candidate machines (RequestSamples).
 	sampleRequests []*peerspb.Want
 
-	// placed counts the tasks that were placed; takeoverCompleted tells that the
-	// takeover was completed just before (Place).
+	// placed is the number of tasks that were placed; takeoverCompleted reports whether
+	// the takeover was completed just before (Place).
 	placed            int
 	takeoverCompleted bool
 
 	// writes are the job records to write (DueWrites).
 	writes []*placement.JobWrite
 
-	// expired names the machines whose expiry was confirmed (Expire).
+	// expired names the machines whose lease expiry was confirmed (Expire).
 	expired []string
 
-	// recordRevisions are the machine records to delete, by machine, with their
-	// revisions (ExpiredMachineRecords).
+	// recordRevisions maps each machine whose record is to be deleted to the record's
+	// revision (ExpiredMachineRecords).
 	recordRevisions map[string]uint64
 
 	// cloudActions are the launches and terminations to carry out (Plan).
 	cloudActions []autoscaler.Action
 
-	// requestResolved tells that the launch request's record can be deleted
+	// requestResolved reports whether the launch request's record can be deleted
 	// (LaunchDone).
 	requestResolved bool
 
@@ -207,8 +207,8 @@
 	// (ResolveDependencies).
 	dependencyActions []dag.Action
 
-	// usage and usageMark are what teams have used, and the watermark to store for
-	// the next leader (Usage).
+	// usage is the ledger of what teams have used, and usageMark is the watermark to
+	// store for the next leader (Usage).
 	usage     *accounting.Ledger
 	usageMark accounting.Watermark
 
@@ -216,7 +216,7 @@
 	summary placement.Summary
 }
 
-// submit applies an event and records it if a recording is wanted.
+// submit applies an event, and records it if the recorder wants frames.
 func (s *Scheduler) submit(event *recordpb.Event) outcome {
 	if s.recorder == nil {
 		return s.apply(event)
@@ -240,7 +240,7 @@
 	return out
 }
 
-// Decide applies a recorded event and returns the decisions that it led to.
+// Decide applies a recorded event and returns the decisions that it leads to.
 func (s *Scheduler) Decide(event *recordpb.Event) *recordpb.Decided {
 	_, decided := s.applyCollecting(event)
 	return decided
