--- a/internal/model/table.go
+++ b/internal/model/table.go
@@ -14,18 +14,19 @@
 type Table[K comparable, V any] struct {
 	values  map[K]V
 	compare func(x, y K) int
-	changes uint64 // number of changes so far
-	// The rows in order, as of the last iteration; nil: there was none. What was stored here is not written any more.
+	changes uint64 // number of changes to the table so far
+	// sorted holds the rows in order, as of the last iteration; nil if there was none. A stored value is never modified.
 	//
-	// Guard: sorted in place, a table that plays shared was written by those that read it, and one saw the rows while
-	// another one sorted them (TestTableIsReadByTwo, TestChangesShow).
+	// Guard: when iterating sorted the rows in place, simulation runs that only read a shared table also
+	// wrote to it, and one iterated over the rows while another was still sorting them
+	// (TestTableConcurrentReaders, TestChangesShow).
 	sorted atomic.Pointer[sortedRows[K, V]]
 }
 
 // sortedRows are a table's rows in the order of their keys.
 type sortedRows[K comparable, V any] struct {
 	rows    []row[K, V]
-	changes uint64 // of the table, when they were sorted
+	changes uint64 // the table's number of changes when the rows were sorted
 }
 
 // row is a key and its value.
@@ -34,16 +35,16 @@
 	value V
 }
 
-// NewTable makes an empty table with keys in their natural order.
+// NewTable returns an empty table with keys in their natural order.
 func NewTable[K cmp.Ordered, V any]() *Table[K, V] { return NewTableBy[K, V](cmp.Compare[K]) }
 
-// NewTableBy makes an empty table whose keys are ordered by compare, which tells
-// like cmp.Compare which of two comes first and returns 0 for equal keys only.
+// NewTableBy returns an empty table whose keys are ordered by compare. compare returns
+// negative, zero or positive numbers like cmp.Compare, and zero only for equal keys.
 func NewTableBy[K comparable, V any](compare func(x, y K) int) *Table[K, V] {
 	return &Table[K, V]{values: map[K]V{}, compare: compare}
 }
 
-// At returns the value of a key, or the zero value.
+// At returns the value of a key, or the zero value if the key is not in the table.
 func (t *Table[K, V]) At(key K) (value V) {
 	if t != nil {
 		value = t.values[key]
@@ -68,7 +69,7 @@
 	}
 }
 
-// Len counts the keys.
+// Len returns the number of keys.
 func (t *Table[K, V]) Len() int {
 	if t == nil {
 		return 0
@@ -76,8 +77,9 @@
 	return len(t.values)
 }
 
-// All iterates over the table in the order of its keys. The table may be changed
-// meanwhile: deleted keys are skipped, new ones may be visited or not.
+// All iterates over the table in the order of its keys. The table may be changed during
+// the iteration: a deleted key is skipped, a replaced value is yielded in its current
+// form, and new keys may or may not be visited.
 func (t *Table[K, V]) All() iter.Seq2[K, V] {
 	return func(yield func(K, V) bool) {
 		if t.Len() == 0 {
@@ -99,7 +101,7 @@
 	}
 }
 
-// Values returns the values in the order of their keys; the caller must not change them.
+// Values returns the values in the order of their keys. The caller must not change them.
 func (t *Table[K, V]) Values() []V {
 	out := make([]V, 0, t.Len())
 	for _, v := range t.All() {
@@ -108,7 +110,8 @@
 	return out
 }
 
-// inOrder returns the rows in order. They are sorted again if the table changed since.
+// inOrder returns the rows in order. It sorts them only if the table has changed since the
+// last call.
 func (t *Table[K, V]) inOrder() *sortedRows[K, V] {
 	if sorted := t.sorted.Load(); sorted != nil && sorted.changes == t.changes {
 		return sorted
@@ -123,5 +126,5 @@
 	return sorted
 }
 
-// Nth returns the value of the n-th key in order, from 0 on.
+// Nth returns the value of the n-th key in order, counting from 0.
 func (t *Table[K, V]) Nth(n int) V { return t.inOrder().rows[n].value }
--- a/internal/model/table_shared_test.go
+++ b/internal/model/table_shared_test.go
@@ -8,32 +8,36 @@
 	"time"
 )
 
-// Two goroutines that iterate over a table which nobody changes both see all of it in order.
+// Two goroutines that iterate over an unchanged table at once must both see all rows in order.
 //
-// Iterating sorted the table in place, so reading was writing. A what-if plays several days at once that walk the same
-// recorded jobs, and one goroutine iterated over rows that another one was still sorting: a play lost jobs or took them
-// in another order, and TestChangesShow found changes where there were none (the race detector names sortRows, as a
-// write from two plays). Here the comparison holds the second goroutine in the middle of its sort until the first is done.
-func TestTableIsReadByTwo(t *testing.T) {
+// An earlier version sorted the table in place during iteration, so readers also wrote to it. A what-if
+// simulation runs several days concurrently over the same recorded jobs. One goroutine iterated over rows
+// that another was still sorting, so a simulated day lost jobs or took them in another order, and
+// TestChangesShow found changes where there were none. (The race detector reported writes by two
+// simulated days in that version's function sortRows.)
+//
+// In this test, the comparison function blocks the second goroutine in the middle of its sort until the
+// first one is done.
+func TestTableConcurrentReaders(t *testing.T) {
 	const keys = 100
 	wait := func(event chan struct{}) {
 		select {
 		case <-event:
 		case <-time.After(10 * time.Second):
-			t.Error("one reader waits for the other for ever")
+			t.Error("timed out while one reader waited for the other")
 		}
 	}
-	secondSorts, firstIsDone := make(chan struct{}), make(chan struct{})
-	firstSorts := make(chan struct{})
+	secondSorting, firstDone := make(chan struct{}), make(chan struct{})
+	firstSorting := make(chan struct{})
 	var comparisons atomic.Int64
 	table := NewTableBy[int, int](func(x, y int) int {
 		switch comparisons.Add(1) {
 		case 1:
-			close(firstSorts)
-			wait(secondSorts)
+			close(firstSorting)
+			wait(secondSorting)
 		case 2:
-			close(secondSorts)
-			wait(firstIsDone)
+			close(secondSorting)
+			wait(firstDone)
 		}
 		return cmp.Compare(x, y)
 	})
@@ -47,15 +51,15 @@
 		}
 	}
 	go func() {
-		defer close(firstIsDone)
+		defer close(firstDone)
 		read(0)
 	}()
-	wait(firstSorts)
+	wait(firstSorting)
 	read(1)
-	wait(firstIsDone)
+	wait(firstDone)
 	for reader, seen := range rows {
 		if len(seen) != keys || !slices.IsSorted(seen) {
-			t.Errorf("reader %d sees %v", reader, seen)
+			t.Errorf("reader %d misses keys or gets them out of order: %v", reader, seen)
 		}
 	}
 }
--- a/internal/model/table_test.go
+++ b/internal/model/table_test.go
@@ -5,19 +5,19 @@
 	"testing"
 )
 
-// A table is walked in order, whatever is put and dropped on the way: what is
-// dropped is not met any more, and what is replaced is met as it is now.
-func TestTable(t *testing.T) {
+// A table must be iterated in the order of its keys even if it is changed during the
+// iteration: deleted keys are skipped, and replaced keys have their new value.
+func TestTableIteration(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		on   func(t *Table[string, int]) // done when "b" is met
+		on   func(t *Table[string, int]) // called when the iteration is at "b"
 		want string
 	}{
 		{"unchanged", func(*Table[string, int]) {}, "a1 b2 c3 d4 "},
-		{"the next is dropped", func(t *Table[string, int]) { t.Delete("c") }, "a1 b2 d4 "},
-		{"itself is dropped", func(t *Table[string, int]) { t.Delete("b") }, "a1 b2 c3 d4 "},
-		{"the next is replaced", func(t *Table[string, int]) { t.Put("c", 9) }, "a1 b2 c9 d4 "},
-		{"walked within", func(t *Table[string, int]) {
+		{"next key is deleted", func(t *Table[string, int]) { t.Delete("c") }, "a1 b2 d4 "},
+		{"current key is deleted", func(t *Table[string, int]) { t.Delete("b") }, "a1 b2 c3 d4 "},
+		{"next key is replaced", func(t *Table[string, int]) { t.Put("c", 9) }, "a1 b2 c9 d4 "},
+		{"key is deleted, with a nested iteration", func(t *Table[string, int]) {
 			t.Delete("d")
 			for range t.All() {
 			}
@@ -35,7 +35,7 @@
 			}
 		}
 		if got != c.want {
-			t.Errorf("%s: %s, want %s", c.name, got, c.want)
+			t.Errorf("%s: got %s, want %s", c.name, got, c.want)
 		}
 	}
 	var none *Table[string, int]
