--- a/internal/model/job_wire.go
+++ b/internal/model/job_wire.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// MaxTasks is the protocol's bound on a job's tasks.
+// MaxTasks is the maximum number of tasks of a job, as set by the protocol.
 const MaxTasks = 100_000
 
 const (
-	maxAmount   = 1e9 // of resources and of seconds
+	maxAmount   = 1e9 // largest accepted amount of a resource or of seconds
 	maxIDLength = 100 // bytes
 )
 
-// wireJob is a job in the form of a submission, which is also the stored form. Pointers
-// tell a missing field from a zero one.
+// wireJob is the JSON encoding of a job, in submissions and in stored records. Its fields
+// are pointers to distinguish a missing value from a zero one.
 type wireJob struct {
 	ID          *string   `json:"nameId"`
 	Class       *string   `json:"docket"`
@@ -41,13 +41,13 @@
 	Needs       []*string `json:"awaits,omitempty"`
 }
 
-// Seconds turns an amount of seconds into a duration.
+// Seconds converts a number of seconds to a duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// ValidID tells whether a job id can be used as part of a key and of a path.
+// ValidID reports whether a job ID can be used as part of a key and of a path.
 //
-// Guard: "." and ".." are steps of a path, not names; a key that ends in one could be read and
-// written as another.
+// Guard: "." and ".." are path elements with a special meaning, not names. A key that ends in
+// one of them could be resolved to another key when it is read or written.
 func ValidID(id string) bool {
 	if id == "" || len(id) > maxIDLength || id == "." || id == ".." {
 		return false
@@ -62,7 +62,7 @@
 	return true
 }
 
-// job checks what both a submission and a stored job must hold, and makes the job.
+// job makes the checks that apply to both submissions and stored jobs, and returns the job.
 func (w *wireJob) job() (*Job, error) {
 	if err := w.checkPresent(); err != nil {
 		return nil, err
@@ -76,7 +76,7 @@
 	return w.toJob(), nil
 }
 
-// checkPresent reports the first required field that is missing.
+// checkPresent returns an error for the first required field that is missing.
 func (w *wireJob) checkPresent() error {
 	for _, field := range []struct {
 		name    string
@@ -107,7 +107,7 @@
 	return nil
 }
 
-// checkAmounts reports the first required amount that is out of range.
+// checkAmounts returns an error for the first required amount that is out of range.
 func (w *wireJob) checkAmounts() error {
 	for _, field := range []struct {
 		name   string
@@ -128,7 +128,7 @@
 	return nil
 }
 
-// checkValues reports the first other field with a value that it can't have.
+// checkValues returns an error for the first of the other fields that has an invalid value.
 func (w *wireJob) checkValues() error {
 	switch {
 	case !ValidID(*w.ID):
@@ -149,7 +149,7 @@
 	return nil
 }
 
-// toJob makes a job of checked fields. Duplicate dependencies are dropped.
+// toJob converts checked fields to a job. It drops duplicate dependencies.
 func (w *wireJob) toJob() *Job {
 	job := &Job{
 		ID:              *w.ID,
@@ -185,7 +185,7 @@
 	return job
 }
 
-// MarshalJSON writes the job in the form of a submission, which is also the stored form.
+// MarshalJSON encodes the job as in a submission. Stored records have the same encoding.
 func (j *Job) MarshalJSON() ([]byte, error) {
 	seconds := func(d time.Duration) *float64 { s := d.Seconds(); return &s }
 	wire := wireJob{
@@ -222,8 +222,8 @@
 	return json.Marshal(wire)
 }
 
-// UnmarshalJSON reads the stored form. What an earlier version accepted stays readable:
-// it makes fewer checks than ParseJob.
+// UnmarshalJSON decodes a stored job. It makes fewer checks than ParseJob, so that jobs that
+// an earlier version accepted stay readable.
 func (j *Job) UnmarshalJSON(b []byte) error {
 	var wire wireJob
 	if err := json.Unmarshal(b, &wire); err != nil {
--- a/internal/model/model.go
+++ b/internal/model/model.go
@@ -1,7 +1,7 @@
-// Package model holds the types that all packages share: sizes, machine pools and types,
-// jobs and the states of tasks, and the wire types of the protocol. The protocol's themed
-// names stand only in struct tags, in constant values and in the table of a submission's
-// fields. The package has no state and does no I/O.
+// Package model defines the types that all packages share: sizes, machine pools and types,
+// jobs and the states of tasks, and the wire types of the protocol. Field names and values
+// of the protocol appear only in struct tags, in constant values and in the tables of a
+// submission's fields. The package has no state and does no I/O.
 package model
 
 import (
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// eps absorbs rounding in sums of decimal amounts.
+// eps is the tolerance in comparisons of amounts, for rounding errors in sums of decimals.
 const eps = 1e-6
 
 // Size is an amount of each resource.
@@ -19,12 +19,12 @@
 	MemoryGB float64
 }
 
-// Add returns the sum.
+// Add returns the sum of two sizes.
 func (s Size) Add(o Size) Size {
 	return Size{s.CPUs + o.CPUs, s.GPUs + o.GPUs, s.MemoryGB + o.MemoryGB}
 }
 
-// Sub returns the difference.
+// Sub returns the difference of two sizes.
 func (s Size) Sub(o Size) Size {
 	return Size{s.CPUs - o.CPUs, s.GPUs - o.GPUs, s.MemoryGB - o.MemoryGB}
 }
@@ -35,13 +35,13 @@
 	return Size{s.CPUs * f, s.GPUs * f, s.MemoryGB * f}
 }
 
-// Fits tells whether s fits into a free capacity.
+// Fits reports whether s fits into a free capacity.
 func (s Size) Fits(free Size) bool {
 	return s.CPUs <= free.CPUs+eps && s.GPUs <= free.GPUs+eps && s.MemoryGB <= free.MemoryGB+eps
 }
 
-// Share is the dominant share: the largest ratio of use to capacity over the resources
-// that capacity has.
+// Share returns the dominant share of s in a capacity: the largest ratio of use to capacity
+// among the resources of which there is any capacity.
 func (s Size) Share(capacity Size) float64 {
 	share := 0.0
 	if capacity.CPUs > 0 {
@@ -56,7 +56,7 @@
 	return share
 }
 
-// Slots tells how many tasks of this size fit into a free capacity at once.
+// Slots returns how many tasks of this size fit into a free capacity at once.
 func (s Size) Slots(free Size) int {
 	slots := math.MaxInt32
 	for _, resource := range []struct{ need, free float64 }{
@@ -71,25 +71,26 @@
 	return slots
 }
 
-// Pool is one machine type in one zone; the paper calls it a cloud.
+// Pool is one machine type in one zone. The paper that the placement rule comes from calls
+// it a cloud.
 type Pool struct {
 	Type string
 	Zone string
 }
 
-// MachineType is what the cloud publishes about a type.
+// MachineType is the cloud's description of a type of machine.
 type MachineType struct {
 	Name        string
 	Size        Size
 	CacheGB     float64
 	FetchGBPerS float64
-	Price       float64 // an hour, on demand
-	SpotPrice   float64 // an hour, spot, as last published
+	Price       float64 // per hour, on demand
+	SpotPrice   float64 // per hour, spot, as last published
 	Boot        time.Duration
 	Zones       []string
 }
 
-// In tells whether the type is offered in a zone.
+// In reports whether the type is offered in a zone.
 func (t MachineType) In(zone string) bool {
 	for _, z := range t.Zones {
 		if z == zone {
@@ -99,17 +100,17 @@
 	return false
 }
 
-// Shape is how a job's tasks are scheduled: independently, as a gang, or as replicas.
+// Shape is how a job's tasks are scheduled.
 type Shape string
 
-// The shapes.
+// The shapes: independent tasks, a gang, and replicas of a service.
 const (
 	Array   Shape = "batch"
 	Gang    Shape = "gang"
 	Service Shape = "standing"
 )
 
-// Priority ranks jobs.
+// Priority is the priority of a job.
 type Priority string
 
 // The priorities, highest first.
@@ -120,7 +121,7 @@
 	Low        Priority = "low"
 )
 
-// Rank orders priorities: larger goes first. Unknown ones rank -1.
+// Rank returns a number that is larger for a higher priority, or -1 for an unknown one.
 func (p Priority) Rank() int {
 	switch p {
 	case Production:
@@ -135,7 +136,7 @@
 	return -1
 }
 
-// Stage is the state of a job as users see it.
+// Stage is the state of a job as reported to users.
 type Stage string
 
 // The stages.
@@ -146,52 +147,53 @@
 	Cancelled Stage = "aborted"
 )
 
-// Final tells whether a stage never changes again.
+// Final reports whether a job in this stage never changes its stage again.
 func (s Stage) Final() bool { return s == Done || s == Cancelled }
 
-// TaskState is the state of a task on its machine. TaskOrdered is the controllers' own: a
-// start was ordered and no heartbeat has shown it yet.
+// TaskState is the state of a task on its machine. Workers do not report TaskOrdered: it
+// means that the controller ordered a start that no heartbeat has confirmed yet.
 type TaskState string
 
 // The task states.
 const (
 	TaskOrdered  TaskState = "ordered"
 	TaskFetching TaskState = "fetching"
-	TaskWaiting  TaskState = "gathering"
+	TaskWaiting  TaskState = "gathering" // for the other tasks of its gang
 	TaskRunning  TaskState = "running"
 	TaskSaving   TaskState = "flushing"
 	TaskExited   TaskState = "ended"
 )
 
-// Cause tells why a task exited.
+// Cause is the reason why a task exited.
 type Cause string
 
 // The causes of an exit.
 const (
 	CauseDone       Cause = "done"
 	CauseStopped    Cause = "stopped"
-	CausePeers      Cause = "peers"
-	CauseIsolated   Cause = "alone"
+	CausePeers      Cause = "peers" // another task of its gang exited
+	CauseIsolated   Cause = "alone" // the other tasks of its gang did not become ready in time
 	CauseError      Cause = "error"
-	CauseNoCapacity Cause = "no_room"
-	CauseBusy       Cause = "busy"
+	CauseNoCapacity Cause = "no_room" // it did not fit into the machine's free capacity
+	CauseBusy       Cause = "busy"    // another attempt of the task was still on the machine
 	CauseUnknown    Cause = "no_such"
 )
 
-// Team is one team's guarantee and limit; a zero amount means none.
+// Team holds a team's guarantee and limit. A zero amount means that there is no guarantee
+// or no limit for that resource.
 type Team struct {
 	Name      string
 	Guarantee Size
 	Limit     Size
 }
 
-// WithinLimit tells whether used stays within the team's limit.
+// WithinLimit reports whether the CPUs and GPUs in used are within the team's limit.
 func (t Team) WithinLimit(used Size) bool {
 	return within(used.CPUs, t.Limit.CPUs) && within(used.GPUs, t.Limit.GPUs)
 }
 
-// WithinGuarantee tells whether used stays within the team's guarantee. A
-// team without any guarantee is never within it.
+// WithinGuarantee reports whether the CPUs and GPUs in used are within the team's guarantee.
+// It returns false for a team without any guarantee.
 func (t Team) WithinGuarantee(used Size) bool {
 	if t.Guarantee.CPUs == 0 && t.Guarantee.GPUs == 0 {
 		return false
@@ -199,10 +201,10 @@
 	return used.CPUs <= t.Guarantee.CPUs+eps && used.GPUs <= t.Guarantee.GPUs+eps
 }
 
-// within compares an amount with a limit; the limit 0 means none.
+// within reports whether an amount is within a limit; 0 means that there is no limit.
 func within(used, limit float64) bool { return limit == 0 || used <= limit+eps }
 
-// Objective is the service-level objective of a class of jobs; 0: none.
+// Objective is the service-level objective of a class of jobs. 0 means no objective.
 type Objective struct {
 	Wait     time.Duration // until all tasks have started
 	Finished time.Duration // until the job is done
@@ -231,7 +233,7 @@
 	Needs           []string      // jobs that must be done before any task starts
 }
 
-// Allows tells whether the job's tasks may run on machines of a type in a zone.
+// Allows reports whether the job's tasks may run on machines of a type in a zone.
 func (j *Job) Allows(t MachineType, zone string) bool {
 	if j.Zone != "" && j.Zone != zone {
 		return false
@@ -250,7 +252,8 @@
 	return false
 }
 
-// ZoneCap is how many of the job's tasks one zone may hold.
+// ZoneCap returns the maximum number of the job's tasks in one zone: half of them, rounded
+// up, if the job must be spread over zones.
 func (j *Job) ZoneCap() int {
 	if j.Spread {
 		return (j.Tasks + 1) / 2
--- a/internal/model/submission.go
+++ b/internal/model/submission.go
@@ -9,18 +9,18 @@
 	"unicode/utf8"
 )
 
-// MaxBody is the protocol's bound on a request's body, in bytes.
+// MaxBody is the maximum size of a request's body in bytes, as set by the protocol.
 const MaxBody = 64 << 10
 
-// FieldError is a mistake in a submission: what is wrong, and what to send instead.
+// FieldError reports an invalid field of a submission, and what to send instead.
 type FieldError struct {
-	Field  string // its name on the wire; "" for the body as a whole
+	Field  string // name on the wire; "" for the body as a whole
 	Reason string
 	Remedy string
 	Err    error // the decoder's error, if there is one
 }
 
-// Error names the field, the reason and the remedy, for the user.
+// Error returns a message for the user with the field, the reason and the remedy.
 func (e *FieldError) Error() string {
 	subject := "body"
 	if e.Field != "" {
@@ -32,15 +32,15 @@
 // Unwrap returns the decoder's error, or nil.
 func (e *FieldError) Unwrap() error { return e.Err }
 
-// fieldError makes the error of one field.
+// fieldError returns a *FieldError with the remedy for a field.
 func fieldError(name, reason string) error {
 	return &FieldError{Field: name, Reason: reason, Remedy: remedies[name]}
 }
 
-// amountRemedy says what an amount may be.
+// amountRemedy is the remedy for fields that hold an amount.
 const amountRemedy = "give a number from 0 to 1e9, such as 4.0"
 
-// remedies say what belongs into each field of a submission.
+// remedies describes the valid values of each field of a submission.
 var remedies = map[string]string{
 	"nameId":         "give a text of 1 to 100 letters, digits, -, _ and ., such as req-000412",
 	"docket":         "give the name of the job's class",
@@ -65,9 +65,9 @@
 	"awaits":         "give a list of job ids, or null for none",
 }
 
-// JobID reads only the id of a submission, so that a repeat of a known job is
-// recognised whatever else its body holds, also if the rest is not JSON. It returns ""
-// without a usable one.
+// JobID returns the job ID in a submission's body, or "" if there is no valid one. It ignores
+// all other fields, so that a repeated submission of a known job is recognised even if the
+// rest of the body differs or is not valid JSON.
 func JobID(body []byte) string {
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	if first, err := decoder.Token(); err != nil || first != json.Delim('{') {
@@ -83,9 +83,9 @@
 		if decoder.Decode(&value) != nil {
 			break
 		}
-		if key == "nameId" { // the last one counts, as in ParseJob
+		if key == "nameId" { // the last one is used, as in ParseJob
 			id = ""
-			_ = json.Unmarshal(value, &id) // a value that isn't a string leaves no id
+			_ = json.Unmarshal(value, &id) // id stays empty if the value isn't a string
 		}
 	}
 	if !ValidID(id) {
@@ -94,10 +94,11 @@
 	return id
 }
 
-// ParseJob reads and validates a submission. Its errors are of type *FieldError.
+// ParseJob decodes and validates a submission. Its errors are of type *FieldError.
 //
-// Guard: names of fields are compared exactly. The decoder of structs takes "CPUS" for cpus: a
-// submission that lacked a field was accepted, and one with an unknown field was rejected.
+// Guard: field names are compared exactly. Decoding JSON into a struct ignores case, so "CPUS"
+// was taken for cpus: a submission that lacked a field was accepted, and one with an unknown
+// field was rejected.
 func ParseJob(body []byte) (*Job, error) {
 	raw, err := parseObject(body)
 	if err != nil {
@@ -142,15 +143,15 @@
 	return raw, nil
 }
 
-// wireField is one field of a submission and the variable that it is decoded into.
+// wireField is a field of a submission and the variable that it is decoded into.
 type wireField struct {
 	name     string
 	into     any
 	nullable bool // may be null or missing
 }
 
-// fields lists the fields of a submission in the order in which they are checked. The
-// machine types go into a list of their own, which tells a null among them.
+// fields returns the fields of a submission in the order in which they are checked. Machine
+// types are decoded into a list of pointers, in which a null can be detected.
 func (w *wireJob) fields(types *[]*string) []wireField {
 	return []wireField{
 		{name: "nameId", into: &w.ID},
@@ -177,7 +178,8 @@
 	}
 }
 
-// decodeFields decodes each field, and reports the first that is missing or of another type.
+// decodeFields decodes all fields. It returns an error for the first one that is missing or
+// has the wrong type.
 func decodeFields(raw map[string]json.RawMessage, fields []wireField) error {
 	for _, field := range fields {
 		value, ok := raw[field.name]
@@ -199,9 +201,9 @@
 	return nil
 }
 
-// setTypes sets the machine types of a submission.
+// setTypes sets the machine types of a submission, and rejects a null among their names.
 //
-// Guard: a null among the names became a name that no type has.
+// Guard: a null among the names was decoded as a name that no machine type has.
 func (w *wireJob) setTypes(types []*string) error {
 	if types != nil {
 		w.Types = &[]string{}
@@ -217,7 +219,7 @@
 
 // checkNames rejects a null among the dependencies, and empty names.
 //
-// Guard: an empty zone became any zone.
+// Guard: an empty zone name was treated as "any zone".
 func (w *wireJob) checkNames() error {
 	if slices.Contains(w.Needs, nil) {
 		return fieldError("awaits", "holds a null")
--- a/internal/model/tasks.go
+++ b/internal/model/tasks.go
@@ -13,16 +13,17 @@
 	"sync"
 )
 
-// TaskSet is a set of task numbers, kept as a bitmap.
+// TaskSet is a set of task indexes, stored as a bitmap.
 type TaskSet struct {
 	words []uint64
 	n     int
 }
 
-// NewTaskSet makes an empty set for tasks 0 to size-1.
+// NewTaskSet returns an empty set for tasks 0 to size-1.
 func NewTaskSet(size int) *TaskSet { return &TaskSet{words: make([]uint64, (size+63)/64)} }
 
-// TaskSetOf makes a set of the words of another; the caller must not change them.
+// TaskSetOf returns a set with the given bitmap; see Words. The caller must not change the
+// slice afterwards.
 func TaskSetOf(words []uint64) *TaskSet {
 	s := &TaskSet{words: words}
 	for _, w := range words {
@@ -31,15 +32,15 @@
 	return s
 }
 
-// Words is a copy of the bitmap, for TaskSetOf.
+// Words returns a copy of the bitmap, which can be passed to TaskSetOf.
 func (s *TaskSet) Words() []uint64 { return slices.Clone(s.words) }
 
-// Has tells whether i is in the set.
+// Has reports whether i is in the set.
 func (s *TaskSet) Has(i int) bool {
 	return i >= 0 && i/64 < len(s.words) && s.words[i/64]&(1<<(i%64)) != 0
 }
 
-// Add puts i into the set and tells whether it was new.
+// Add adds i to the set. It returns false if i is already in the set or out of range.
 func (s *TaskSet) Add(i int) bool {
 	if i < 0 || i/64 >= len(s.words) || s.Has(i) {
 		return false
@@ -49,18 +50,18 @@
 	return true
 }
 
-// Len is the number of tasks in the set.
+// Len returns the number of tasks in the set.
 func (s *TaskSet) Len() int { return s.n }
 
-// Differs tells whether two sets differ in the tasks from up to below to; from is a
+// Differs reports whether two sets differ in the tasks in [from, to). from must be a
 // multiple of 64.
 func (s *TaskSet) Differs(o *TaskSet, from, to int) bool {
 	a, b := from/64, (to+63)/64
 	return !slices.Equal(s.words[a:b], o.words[a:b])
 }
 
-// Union adds another set's tasks from up to below to; from is a multiple of 64,
-// and so is to unless it is the size.
+// Union adds another set's tasks in [from, to). from must be a multiple of 64, and so must to
+// unless it is the size of the set.
 func (s *TaskSet) Union(o *TaskSet, from, to int) {
 	for i := from / 64; i < (to+63)/64; i++ {
 		s.n += bits.OnesCount64(o.words[i] &^ s.words[i])
@@ -68,14 +69,15 @@
 	}
 }
 
-// compressors are reused, because each holds half a megabyte of tables.
+// compressors holds compressors for reuse, because each has half a megabyte of tables.
 var compressors = sync.Pool{New: func() any {
 	w, _ := flate.NewWriter(nil, flate.BestSpeed)
 	return w
 }}
 
-// Encode compresses tasks from up to below to into a text: "z" and deflated bytes or "b" and
-// plain bytes, in base64, or "" for none. PartTasks bounds the tasks that fit into a size.
+// Encode returns the set's tasks in [from, to) as text: "z" and deflate-compressed bytes, or
+// "b" and uncompressed bytes, both in base64, or "" if there are no tasks. PartTasks returns
+// how many tasks always fit into a text of a given size.
 func (s *TaskSet) Encode(from, to int) string {
 	raw := make([]byte, 0, (to-from)/8+8)
 	for i := from / 64; i < (to+63)/64 && i < len(s.words); i++ {
@@ -99,11 +101,11 @@
 	return "b" + base64.RawStdEncoding.EncodeToString(raw)
 }
 
-// PartTasks is how many tasks always fit into an encoded text of size bytes, a multiple of
-// 64.
+// PartTasks returns the number of tasks that always fit into a text of Encode of size bytes.
+// It is a multiple of 64, and at least 64 even if fewer fit.
 func PartTasks(size int) int { return max(64, (size-1)*3/4*8/64*64) }
 
-// Merge adds an encoded set that starts at task from.
+// Merge adds the tasks of a text that Encode returned for a range that starts at task from.
 func (s *TaskSet) Merge(from int, text string) error {
 	if text == "" {
 		return nil
@@ -127,10 +129,10 @@
 	return nil
 }
 
-// TaskName is the name of a task on the wire.
+// TaskName returns the name of a task on the wire.
 func TaskName(job string, index int) string { return job + "/" + strconv.Itoa(index) }
 
-// SplitTask parses the name of a task.
+// SplitTask parses the name of a task on the wire. ok reports whether the name is valid.
 func SplitTask(name string) (job string, index int, ok bool) {
 	i := strings.LastIndexByte(name, '/')
 	if i < 0 || !ValidID(name[:i]) {
--- a/internal/model/wire.go
+++ b/internal/model/wire.go
@@ -1,7 +1,7 @@
 package model
 
-// The wire types of workers and of the cloud. The protocol's themed names stand in their
-// tags alone.
+// This file defines the wire types of workers and of the cloud. The field names of the
+// protocol appear only in the struct tags.
 
 // TaskStatus is the state of one task in a heartbeat.
 type TaskStatus struct {
@@ -12,8 +12,9 @@
 	Saved   bool      `json:"stored,omitempty"`
 }
 
-// Heartbeat is what a worker sends periodically: its identity, its agent epoch (Session),
-// a sequence number, the last fencing token it saw, and the status of its tasks.
+// Heartbeat is the message that a worker sends periodically: its identity, its agent epoch
+// (Session), a sequence number, the last fencing token that it received, and the status of
+// its tasks.
 type Heartbeat struct {
 	Machine string       `json:"berth"`
 	Addr    string       `json:"addr"`
@@ -27,7 +28,7 @@
 	Tasks   []TaskStatus `json:"pieces"`
 }
 
-// Command is one order to a worker, to start or stop an attempt of a task.
+// Command orders a worker to start or stop an attempt of a task.
 type Command struct {
 	Op      string   `json:"verb"`
 	Task    string   `json:"piece"`
@@ -35,15 +36,15 @@
 	GraceS  *float64 `json:"windDownS,omitempty"`
 }
 
-// HeartbeatResponse is the body of the answer to an accepted heartbeat: the leader's
+// HeartbeatResponse is the body of the response to an accepted heartbeat: the leader's
 // fencing token and the commands.
 type HeartbeatResponse struct {
 	Token    uint64    `json:"baton"`
 	Commands []Command `json:"orders"`
 }
 
-// DirectCommands is the body of a call from the controller to a worker, beside heartbeats.
-// It is meant for one agent epoch (Session) alone.
+// DirectCommands is the body of a call from the controller to a worker, which is made in
+// addition to heartbeat responses. It applies to one agent epoch (Session) only.
 type DirectCommands struct {
 	Token    uint64    `json:"baton"`
 	Session  uint64    `json:"shift"`
@@ -69,7 +70,7 @@
 	Types []WireType `json:"hulls"`
 }
 
-// Table turns the catalogue into machine types by name.
+// Table returns the machine types of the catalogue by name.
 func (c Catalogue) Table() map[string]MachineType {
 	out := make(map[string]MachineType, len(c.Types))
 	for _, t := range c.Types {
