--- a/internal/dag/actions.go
+++ b/internal/dag/actions.go
@@ -10,34 +10,34 @@
 )
 
 const (
-	// maxInFlight bounds the actions in flight.
+	// maxInFlight is the maximum number of actions in flight.
 	maxInFlight = 8
-	// retryDelay is the pause before an action that failed is tried again.
+	// retryDelay is the delay before a failed write is retried or an outcome is read again.
 	retryDelay = 300 * time.Millisecond
 )
 
-// Op is the operation of an action. Its numbers are stored in recordings.
+// Op is the operation of an action. Its numeric values are stored in recordings.
 type Op int
 
 // The operations.
 const (
-	CheckOutcome Op = iota // read how a job ended
-	Release                // replace a waiting record by an open one
-	Cancel                 // replace a waiting record by a cancelled one
+	CheckOutcome Op = iota // read the stored outcome of a job
+	Release                // replace a waiting record by the record of an open job
+	Cancel                 // replace a waiting record by the record of a cancelled job
 )
 
-// Action is something for the caller to do. Its outcome is reported by OutcomeKnown for
-// CheckOutcome, and by WriteDone for the others.
+// Action is an operation that the caller must carry out. The caller reports its outcome with
+// OutcomeKnown if Op is CheckOutcome, and with WriteDone otherwise.
 type Action struct {
 	Op       Op
-	ID       string           // of the job
-	Revision uint64           // of the waiting record
-	Record   placement.Record // of a release: the open record
-	Final    placement.Final  // of a cancellation: how the job ended
+	ID       string           // the job
+	Revision uint64           // revision of the waiting record
+	Record   placement.Record // for Release: the record of the open job
+	Final    placement.Final  // for Cancel: the final record of the job
 }
 
-// Check finds the dependencies of which no open record is known; how they ended is to
-// be read. isOpen tells whether a job has an open record.
+// Check marks each dependency that is neither waiting nor open as having an unknown outcome, so
+// that Actions asks for its stored outcome. isOpen reports whether a job has an open record.
 func (g *Graph) Check(isOpen func(id string) bool) {
 	for id, dep := range g.dependencies {
 		dep.outcomeUnknown = !g.Has(id) && !isOpen(id)
@@ -45,8 +45,9 @@
 	}
 }
 
-// Actions returns the actions that are due and may be in flight: checks first, then
-// releases, then cancellations. Each counts as in flight until its outcome is reported.
+// Actions returns the actions that are due, as many as the limit on actions in flight allows:
+// checks first, then releases, then cancellations. Each returned action counts as in flight
+// until its outcome is reported.
 func (g *Graph) Actions(now time.Time) []Action {
 	if !g.active {
 		return nil
@@ -56,23 +57,24 @@
 	for _, id := range sortedKeys(g.dependencies) {
 		dep := g.dependencies[id]
 		g.active = g.active || dep.outcomeUnknown
-		if dep.checkDue(now) && g.reserveFlight() {
+		if dep.checkDue(now) && g.addInFlight() {
 			dep.checkInFlight = true
 			actions = append(actions, Action{Op: CheckOutcome, ID: id})
 		}
 	}
 	for _, job := range g.dueWrites(now) {
-		if !g.reserveFlight() {
+		if !g.addInFlight() {
 			break
 		}
 		job.writeInFlight = true
-		actions = append(actions, job.write(now))
+		actions = append(actions, job.writeAction(now))
 	}
 	return actions
 }
 
-// reserveFlight counts one more action in flight, unless there are too many.
-func (g *Graph) reserveFlight() bool {
+// addInFlight counts one more action as in flight. It returns false and does nothing if
+// maxInFlight actions are in flight already.
+func (g *Graph) addInFlight() bool {
 	if g.inFlight >= maxInFlight {
 		return false
 	}
@@ -80,12 +82,13 @@
 	return true
 }
 
+// checkDue reports whether the outcome must be read now.
 func (d *dependency) checkDue(now time.Time) bool {
 	return d.outcomeUnknown && !d.checkInFlight && !now.Before(d.nextCheck)
 }
 
-// dueWrites lists the jobs whose release or cancellation is due, releases first, and
-// within these the jobs accepted first.
+// dueWrites returns the jobs whose release or cancellation is due. Releases come first; among
+// releases and among cancellations, jobs that were accepted earlier come first.
 func (g *Graph) dueWrites(now time.Time) []*waitingJob {
 	var due []*waitingJob
 	for _, job := range g.jobs {
@@ -104,8 +107,8 @@
 	return due
 }
 
-// write makes the action that releases or cancels the job.
-func (j *waitingJob) write(now time.Time) Action {
+// writeAction returns the action that releases or cancels the job.
+func (j *waitingJob) writeAction(now time.Time) Action {
 	spec := j.record.Job
 	if j.state == Cancelling {
 		return Action{
@@ -123,9 +126,9 @@
 	}
 }
 
-// releasedRecord makes the open record of a job whose dependencies are done. It is that
-// of an ordinary job submitted now, so that every version reads it alike; only the
-// deadline counts from the submission.
+// releasedRecord returns the open record of a job whose dependencies are done. The record is
+// equal to that of a job without dependencies submitted now, so that every version reads it in
+// the same way. Only the deadline still counts from the submission of the waiting job.
 func releasedRecord(record placement.Record, now time.Time) placement.Record {
 	spec := *record.Job
 	spec.Needs = nil
@@ -136,8 +139,8 @@
 	return placement.Record{Job: &spec, AcceptedMS: now.UnixMilli()}
 }
 
-// OutcomeKnown reports what a check found. Without ok, or while the job is not over, it
-// is checked again later.
+// OutcomeKnown records the result of a check. If ok is false, or if the job has not ended, the
+// outcome is checked again after retryDelay.
 func (g *Graph) OutcomeKnown(id string, ok bool, stage model.Stage, now time.Time) {
 	g.inFlight--
 	if dep := g.dependencies[id]; dep != nil {
@@ -148,8 +151,9 @@
 	}
 }
 
-// WriteDone reports the outcome of a release or a cancellation. One that failed is
-// tried again; revision is that of the record now, 0 if it is unknown.
+// WriteDone records the outcome of a release or a cancellation. A failed write is retried after
+// retryDelay. revision is the current revision of the waiting record, or 0 if it is unknown; the
+// retry uses it if it is newer than the known one.
 func (g *Graph) WriteDone(action Action, ok bool, revision uint64, now time.Time) {
 	g.inFlight--
 	job := g.jobs[action.ID]
--- a/internal/dag/graph.go
+++ b/internal/dag/graph.go
@@ -1,21 +1,22 @@
-// Package dag keeps the jobs that wait for other jobs: the dependencies that each still
-// has, the dependents of each dependency, and what follows when a job ends.
+// Package dag tracks the jobs that wait for other jobs: the unfinished dependencies of each
+// waiting job, the dependents of each dependency, and the jobs to release or cancel when a
+// job ends.
 //
-// The graph is pure: events and the time go in, actions come out, and the caller
-// reports each action's outcome. It holds waiting jobs only; open jobs are in the
-// leader's cluster state and cost nothing here.
+// The graph does no input or output and reads no clock: its input is events and the current
+// time, its output is actions, and the caller reports the outcome of each action. It holds
+// only waiting jobs; open jobs are in the leader's cluster state and cost nothing here.
 //
-// A waiting job leaves the state Waiting once, and the graph when the write that
-// follows is done:
+// A waiting job leaves the state Waiting exactly once. It leaves the graph when the write
+// that releases or cancels it has succeeded:
 //
 //	          all dependencies done
 //	Waiting ─────────────────────────▶ Releasing ──▶ (open job)
 //	   │
-//	   │      a dependency cancelled
+//	   │      a dependency was cancelled
 //	   └─────────────────────────────▶ Cancelling ──▶ (cancelled job)
 //
-// One cancelled dependency cancels the job even if others are not over. A cancelled
-// job cancels its dependents in turn.
+// One cancelled dependency cancels the job even if its other dependencies have not ended.
+// The cancelled job's dependents are then cancelled as well.
 package dag
 
 import (
@@ -27,22 +28,22 @@
 	"github.com/marlwood/marlwood/internal/placement"
 )
 
-// State is the state of a waiting job. Its numbers are stored in recordings.
+// State is the state of a waiting job. Its numeric values are stored in recordings.
 type State int
 
 // The states of a waiting job.
 const (
-	// Waiting: some dependency is not known to be done.
+	// Waiting means that at least one dependency is not known to be done.
 	Waiting State = iota
-	// Releasing: all dependencies are done; the waiting record is to be replaced by
-	// that of an open job.
+	// Releasing means that all dependencies are done and that the waiting record must be
+	// replaced by the record of an open job.
 	Releasing
-	// Cancelling: a dependency is cancelled; the waiting record is to be replaced by
-	// that of a cancelled job.
+	// Cancelling means that a dependency was cancelled and that the waiting record must be
+	// replaced by the record of a cancelled job.
 	Cancelling
 )
 
-// String names the state for logs.
+// String returns the state's name for logs.
 func (s State) String() string {
 	switch s {
 	case Waiting:
@@ -55,22 +56,22 @@
 	return "unknown"
 }
 
-// waitingJob is a job that waits for others.
+// waitingJob is a job that waits for other jobs.
 type waitingJob struct {
 	record        placement.Record
 	revision      uint64 // of the record
 	state         State
 	unmet         map[string]bool // dependencies that are not known to be done
-	writeInFlight bool            // its release or cancellation is being written
-	retryAt       time.Time       // no write before this
+	writeInFlight bool            // the release or cancellation is being written
+	retryAt       time.Time       // earliest time of the next write
 }
 
-// dependency is a job that others wait for. It may be waiting itself, open, or over.
+// dependency is a job that other jobs wait for. It may be waiting itself, be open, or have ended.
 type dependency struct {
 	dependents     map[string]*waitingJob
-	outcomeUnknown bool      // no open record is known: how it ended must be read
-	checkInFlight  bool      // its outcome is being read
-	nextCheck      time.Time // no read before this
+	outcomeUnknown bool      // the job has no known open record, so its stored outcome must be read
+	checkInFlight  bool      // the outcome is being read
+	nextCheck      time.Time // earliest time of the next read
 }
 
 // Graph holds the waiting jobs and their dependencies. It is not safe for concurrent
@@ -79,13 +80,13 @@
 	log             *slog.Logger
 	jobs            map[string]*waitingJob
 	dependencies    map[string]*dependency
-	inFlight        int                  // actions whose outcome is not reported yet
-	active          bool                 // actions may be due; else Actions looks for none
-	prioritiesStale bool                 // InheritedPriorities has something new to return
-	latenessByClass map[string]*lateness // of all classes that had a waiting job
+	inFlight        int                  // number of actions whose outcome has not been reported
+	active          bool                 // actions may be due; if false, Actions returns at once
+	prioritiesStale bool                 // inherited priorities may have changed since they were last returned
+	latenessByClass map[string]*lateness // has an entry for each class that has ever had a waiting job
 }
 
-// New makes an empty graph.
+// New returns an empty graph.
 func New(log *slog.Logger) *Graph {
 	return &Graph{
 		log:             log,
@@ -95,17 +96,17 @@
 	}
 }
 
-// Len counts the waiting jobs.
+// Len returns the number of waiting jobs.
 func (g *Graph) Len() int { return len(g.jobs) }
 
-// Has tells whether a job waits.
+// Has reports whether the job is waiting.
 func (g *Graph) Has(id string) bool { return g.jobs[id] != nil }
 
-// IDs lists the waiting jobs in order.
+// IDs returns the sorted IDs of the waiting jobs.
 func (g *Graph) IDs() []string { return sortedKeys(g.jobs) }
 
-// WaitingJob returns a waiting job's record and, in order, the dependencies that are
-// not known to be done.
+// WaitingJob returns a waiting job's record and the sorted IDs of the dependencies that are
+// not known to be done. ok is false if the job is not waiting.
 func (g *Graph) WaitingJob(id string) (record placement.Record, unmet []string, ok bool) {
 	job := g.jobs[id]
 	if job == nil {
@@ -114,7 +115,7 @@
 	return job.record, sortedKeys(job.unmet), true
 }
 
-// setState is the only place where a waiting job's state changes.
+// setState changes a waiting job's state. No other function may change it.
 func (g *Graph) setState(job *waitingJob, state State) {
 	if job.state == state {
 		return
@@ -123,7 +124,8 @@
 	job.state, g.active = state, true
 }
 
-// Put adds a waiting job by its stored record, or updates its record's revision.
+// Put adds a waiting job from its stored record. If the graph already has the job, Put only
+// updates the revision of its record.
 func (g *Graph) Put(record placement.Record, revision uint64) {
 	id := record.Job.ID
 	if job := g.jobs[id]; job != nil {
@@ -145,7 +147,8 @@
 	g.log.Debug("job waits", "job", id, "class", record.Job.Class, "needs", len(job.unmet))
 }
 
-// Remove drops a job whose waiting record is gone: it was released, or it is over.
+// Remove removes a job whose waiting record no longer exists because the job was released or
+// has ended.
 func (g *Graph) Remove(id string) {
 	job := g.jobs[id]
 	if job == nil {
@@ -165,7 +168,8 @@
 	g.dependencies[dependencyID].dependents[dependentID] = dependent
 }
 
-// removeDependent drops a dependent, and the dependency with its last one.
+// removeDependent removes a dependent of a dependency, and also removes the dependency if that
+// was its last dependent.
 func (g *Graph) removeDependent(dependencyID, dependentID string) {
 	dep := g.dependencies[dependencyID]
 	if dep == nil {
@@ -177,8 +181,9 @@
 	}
 }
 
-// JobEnded reports that a job is over: its dependents are released or cancelled. Only a
-// stored end may be reported, for a new leader must see what a release rests on.
+// JobEnded records that a job has ended, so that its dependents are released or cancelled. The
+// caller may report only an outcome that is stored, because a new leader must be able to see
+// the outcome that justified a release.
 func (g *Graph) JobEnded(id string, stage model.Stage) {
 	ended := g.dependencies[id]
 	if ended == nil || !stage.Final() {
@@ -199,8 +204,8 @@
 }
 
 // cancelWithDependents cancels a waiting job and, transitively, its dependents. The
-// cancellations may be written in any order: each job keeps its dependencies until it is
-// over, so the next leader derives again whatever a lost one left undone.
+// cancellations may be written in any order: the record of each job lists its dependencies until
+// the job has ended, so after a failover the next leader derives the missing cancellations again.
 func (g *Graph) cancelWithDependents(id string, job *waitingJob) {
 	if job.state == Cancelling {
 		return
@@ -215,8 +220,8 @@
 	}
 }
 
-// sortedKeys returns a map's keys in order; never nil, for nil is stored as another
-// value than an empty list.
+// sortedKeys returns the sorted keys of a map. It never returns nil, because nil and an empty
+// list are stored as different values.
 func sortedKeys[V any](m map[string]V) []string {
 	keys := make([]string, 0, len(m))
 	for key := range m {
--- a/internal/dag/graph_test.go
+++ b/internal/dag/graph_test.go
@@ -19,8 +19,8 @@
 
 func newGraph() *Graph { return New(slog.New(slog.DiscardHandler)) }
 
-// put adds a waiting job with the dependencies in needs; change may set more of its
-// specification.
+// put adds a waiting job whose dependencies are the space-separated IDs in needs. change, if not
+// nil, modifies the job's specification first.
 func (g *Graph) put(id, needs string, change func(j *model.Job)) {
 	j := &model.Job{ID: id, Class: "c", Shape: model.Array, Priority: model.Low, Tasks: 3, Estimate: 10 * time.Second,
 		Needs: strings.Fields(needs)}
@@ -30,9 +30,10 @@
 	g.Put(placement.Record{Job: j, AcceptedMS: t0.UnixMilli()}, 7)
 }
 
-// steps stands in for the leader: it carries out the actions that are due until there are
-// none, with over as the stored outcomes of ended jobs, and lists what it did.
-func (g *Graph) steps(open map[string]bool, over map[string]model.Stage) string {
+// runActions simulates the leader: it carries out the due actions until there are none and
+// returns a list of them. open holds the jobs with an open record, and over the stored outcomes
+// of the jobs that have ended. The list ends in "and so on" if actions are still due after 99 rounds.
+func (g *Graph) runActions(open map[string]bool, over map[string]model.Stage) string {
 	var did []string
 	for s := 1.0; s < 100; s++ {
 		g.Check(func(id string) bool { return open[id] })
@@ -62,43 +63,47 @@
 	return strings.Join(did, " ") + " and so on"
 }
 
-func TestGraph(t *testing.T) {
+// Guards against jobs that are released too early, or never released or cancelled after their
+// dependencies ended. A graph can miss an end: a dependency may end between the check at the job's
+// submission and the write of the waiting record, and a leader may be lost before it has written
+// all releases and cancellations. The graph must then read the stored outcomes.
+func TestReleasesAndCancellations(t *testing.T) {
 	type stages = map[string]model.Stage
 	for _, c := range []struct {
 		name string
-		jobs [][2]string // waiting jobs and their dependencies
-		open string
-		over stages // outcomes in the key-value store
+		jobs [][2]string // IDs of waiting jobs and their dependencies
+		open string      // IDs of jobs with an open record
+		over stages      // outcomes stored in the key-value store
 		do   func(g *Graph)
 		want string
 	}{
-		{"one that waits", [][2]string{{"b", "a"}}, "a", stages{}, nil, ""},
-		{"released when all is done", [][2]string{{"c", "a b"}}, "b", stages{},
+		{"the dependency is open", [][2]string{{"b", "a"}}, "a", stages{}, nil, ""},
+		{"all dependencies are done", [][2]string{{"c", "a b"}}, "b", stages{},
 			func(g *Graph) { g.JobEnded("a", model.Done); g.JobEnded("b", model.Done) }, "release:c"},
-		{"not when some is done", [][2]string{{"c", "a b"}}, "b", stages{}, func(g *Graph) { g.JobEnded("a", model.Done) }, ""},
-		{"a dependency that ended between check and store", [][2]string{{"b", "a"}}, "", stages{"a": model.Done}, nil, "check:a release:b"},
-		{"cancelled between check and store", [][2]string{{"b", "a"}}, "", stages{"a": model.Cancelled}, nil, "check:a cancel:b"},
-		{"no open record is known, but it is not over", [][2]string{{"b", "a"}}, "", stages{}, nil, " and so on"},
-		{"a diamond is released once", [][2]string{{"b", "a"}, {"c", "a"}, {"d", "b c"}}, "a", stages{},
+		{"only some dependencies are done", [][2]string{{"c", "a b"}}, "b", stages{}, func(g *Graph) { g.JobEnded("a", model.Done) }, ""},
+		{"a dependency was done between the check at submission and the write", [][2]string{{"b", "a"}}, "", stages{"a": model.Done}, nil, "check:a release:b"},
+		{"a dependency was cancelled between the check at submission and the write", [][2]string{{"b", "a"}}, "", stages{"a": model.Cancelled}, nil, "check:a cancel:b"},
+		{"the dependency has neither an open record nor a stored outcome", [][2]string{{"b", "a"}}, "", stages{}, nil, " and so on"},
+		{"the end of a diamond is not released before both branches are done", [][2]string{{"b", "a"}, {"c", "a"}, {"d", "b c"}}, "a", stages{},
 			func(g *Graph) { g.JobEnded("a", model.Done) }, "release:b release:c"},
-		{"a diamond is cancelled as a whole", [][2]string{{"b", "a"}, {"c", "a"}, {"d", "b c"}}, "a", stages{},
+		{"all jobs of a diamond are cancelled when its root is cancelled", [][2]string{{"b", "a"}, {"c", "a"}, {"d", "b c"}}, "a", stages{},
 			func(g *Graph) { g.JobEnded("a", model.Cancelled) }, "cancel:b cancel:c cancel:d"},
-		{"one path of a diamond is cancelled", [][2]string{{"c", "a"}, {"d", "b c"}}, "a b", stages{},
+		{"the end of a diamond is cancelled when one branch is cancelled", [][2]string{{"c", "a"}, {"d", "b c"}}, "a b", stages{},
 			func(g *Graph) { g.JobEnded("b", model.Cancelled) }, "cancel:d"},
-		{"cancelled and done at once: what is stored counts", [][2]string{{"b", "a"}}, "", stages{"a": model.Done},
+		{"a reported stage that is not final is ignored: the stored outcome counts", [][2]string{{"b", "a"}}, "", stages{"a": model.Done},
 			func(g *Graph) { g.JobEnded("a", model.Running) }, "check:a release:b"},
-		{"a waiting job is cancelled by its user", [][2]string{{"b", "a"}, {"c", "b"}}, "a", stages{"b": model.Cancelled},
+		{"a waiting job with a dependent is cancelled by its user", [][2]string{{"b", "a"}, {"c", "b"}}, "a", stages{"b": model.Cancelled},
 			func(g *Graph) { g.Remove("b") }, "check:b cancel:c"},
-		{"a cascade of cancellations that a lost leader left half done", [][2]string{{"b", "a"}, {"d", "c"}}, "",
+		{"a new leader finishes the cancellations of an earlier leader", [][2]string{{"b", "a"}, {"d", "c"}}, "",
 			stages{"a": model.Cancelled, "c": model.Cancelled}, nil, "check:a check:c cancel:b cancel:d"},
-		{"half a pipeline was released by a lost leader", [][2]string{{"d", "b c"}}, "c", stages{"b": model.Done}, nil, "check:b"},
+		{"a new leader finds one dependency done and the other open", [][2]string{{"d", "b c"}}, "c", stages{"b": model.Done}, nil, "check:b"},
 		{"twenty dependencies", [][2]string{{"z", "a b c d e f g h i j k l m n o p q r s t"}}, "t", stages{},
 			func(g *Graph) {
 				for n := 'a'; n <= 't'; n++ {
 					g.JobEnded(string(n), model.Done)
 				}
 			}, "release:z"},
-		{"put again under a later revision", [][2]string{{"b", "a"}, {"b", "a"}}, "", stages{"a": model.Done}, nil, "check:a release:b"},
+		{"the same job is put twice", [][2]string{{"b", "a"}, {"b", "a"}}, "", stages{"a": model.Done}, nil, "check:a release:b"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := newGraph()
@@ -112,7 +117,7 @@
 			for _, id := range strings.Fields(c.open) {
 				open[id] = true
 			}
-			if got := g.steps(open, maps.Clone(c.over)); got != c.want && (c.want != " and so on" || got != "") {
+			if got := g.runActions(open, maps.Clone(c.over)); got != c.want && (c.want != " and so on" || got != "") {
 				t.Errorf("did %q, want %q", got, c.want)
 			}
 			if left := slices.Collect(maps.Keys(g.dependencies)); g.Len() == 0 && len(left) > 0 {
@@ -122,8 +127,8 @@
 	}
 }
 
-// A write that failed is retried after a pause with the record's new revision, and the
-// writes in flight are bounded.
+// A failed write is retried after retryDelay with the new revision of the record, and no more
+// than maxInFlight writes are in flight at once.
 func TestRetryAndInFlightLimit(t *testing.T) {
 	g := newGraph()
 	for i := range 50 {
@@ -132,22 +137,23 @@
 	g.JobEnded("a", model.Cancelled)
 	first := g.Actions(at(1))
 	if len(first) != maxInFlight || len(g.Actions(at(1))) != 0 {
-		t.Fatalf("%d actions at once", len(first))
+		t.Fatalf("too few or too many actions in flight: %d in the first call", len(first))
 	}
 	g.WriteDone(first[0], false, 9, at(1))
 	if again := g.Actions(at(1.1)); len(again) != 1 || again[0].ID == first[0].ID {
-		t.Errorf("at once after a failure: %+v", again)
+		t.Errorf("immediately after a failed write: %+v", again)
 	}
 	for _, a := range first[1:] {
 		g.WriteDone(a, true, 0, at(2))
 	}
 	if next := g.Actions(at(3)); next[0].ID != first[0].ID || next[0].Revision != 9 {
-		t.Errorf("after the pause: %+v", next[0])
+		t.Errorf("after the retry delay: %+v", next[0])
 	}
 }
 
-// Waiting jobs cost nothing while no dependency ends.
-func TestIdle(t *testing.T) {
+// Actions and InheritedPriorities do not allocate memory while no dependency ends, however many
+// jobs wait.
+func TestNoAllocationsWhileIdle(t *testing.T) {
 	g := newGraph()
 	for i := range 500 {
 		g.put(fmt.Sprintf("b%03d", i), fmt.Sprintf("a%03d", i), nil)
@@ -156,94 +162,95 @@
 	g.Actions(at(1))
 	g.InheritedPriorities()
 	if allocs := testing.AllocsPerRun(10, func() { g.Actions(at(2)); g.InheritedPriorities() }); allocs > 0 {
-		t.Errorf("%v allocations", allocs)
+		t.Errorf("%v allocations per call, want 0", allocs)
 	}
 	g.JobEnded("a007", model.Done)
 	if got := g.Actions(at(3)); len(got) != 1 || got[0].ID != "b007" {
-		t.Errorf("after an end: %+v", got)
+		t.Errorf("after a dependency ended: %+v", got)
 	}
 }
 
-// A released job's record is that of an ordinary job submitted at that moment, except
-// that the deadline counts from the submission.
-func TestReleased(t *testing.T) {
+// The record of a released job is that of a job without dependencies submitted at that moment,
+// except that the deadline still counts from the submission of the waiting job.
+func TestReleasedRecord(t *testing.T) {
 	for _, c := range []struct{ deadline, after, want float64 }{{90, 60, 30}, {0, 60, 0}, {90, 100, 0.001}} {
 		g := newGraph()
 		g.put("b", "a", func(j *model.Job) { j.Deadline = model.Seconds(c.deadline) })
 		g.JobEnded("a", model.Done)
 		r := g.Actions(at(c.after))[0].Record
 		if r.Job.Needs != nil || r.Job.Deadline != model.Seconds(c.want) || r.AcceptedMS != at(c.after).UnixMilli() {
-			t.Errorf("due after %v, released after %v: %+v", c.deadline, c.after, r)
+			t.Errorf("deadline %v s, released after %v s: record %+v", c.deadline, c.after, r)
 		}
 	}
 }
 
-// Only jobs whose dependencies do not wait themselves are upcoming.
+// Upcoming leaves out jobs that have a waiting dependency, and jobs that are being released.
 func TestUpcoming(t *testing.T) {
 	g := newGraph()
 	g.put("b", "a", nil)
 	g.put("c", "a x", nil)
 	g.put("d", "a b", nil)
-	next := func() (out []string) {
+	upcoming := func() (out []string) {
 		for _, c := range g.Upcoming() {
 			out = append(out, c.Spec.ID+" "+strings.Join(c.DependsOn, " "))
 		}
 		return out
 	}
-	if got := next(); !slices.Equal(got, []string{"b a", "c a x"}) {
-		t.Errorf("%q", got)
+	if got := upcoming(); !slices.Equal(got, []string{"b a", "c a x"}) {
+		t.Errorf("upcoming jobs %q", got)
 	}
 	g.JobEnded("a", model.Done)
-	if got := next(); !slices.Equal(got, []string{"c x"}) {
-		t.Errorf("after a is done: %q", got) // b is being released, d waits for it
+	if got := upcoming(); !slices.Equal(got, []string{"c x"}) {
+		t.Errorf("after a is done: upcoming jobs %q", got) // b is being released, and d waits for b
 	}
 }
 
-// The last job's priority and deadline reach all its dependencies, and leave them when it
-// is removed.
+// All direct and transitive dependencies of a job inherit its priority and deadline until the job is
+// removed.
 func TestInheritedPriorities(t *testing.T) {
 	last := func(j *model.Job) { j.Class, j.Priority, j.Deadline = "last", model.High, 100*time.Second }
-	due := func(g *Graph, id string) string {
+	// inherited returns the rank that a job inherits and, if there is one, its due time after t0.
+	inherited := func(g *Graph, id string) string {
 		g.prioritiesStale = true
-		u, _ := g.InheritedPriorities()
-		if u[id].Due.IsZero() {
-			return fmt.Sprintf("%d", u[id].Rank)
+		priorities, _ := g.InheritedPriorities()
+		if priorities[id].Due.IsZero() {
+			return fmt.Sprintf("%d", priorities[id].Rank)
 		}
-		return fmt.Sprintf("%d %v", u[id].Rank, u[id].Due.Sub(t0))
+		return fmt.Sprintf("%d %v", priorities[id].Rank, priorities[id].Due.Sub(t0))
 	}
 	g := newGraph()
 	g.put("b", "a", nil)
-	if got := due(g, "a"); got != "0" {
-		t.Errorf("before the last is known: %s", got)
+	if got := inherited(g, "a"); got != "0" {
+		t.Errorf("before the last job is added: %s", got)
 	}
 	g.put("c", "b", nil)
 	g.put("d", "c x", last)
-	if got := due(g, "a"); got != "2 1m10s" {
-		t.Errorf("three stages before the end: %s", got)
+	if got := inherited(g, "a"); got != "2 1m10s" {
+		t.Errorf("three stages before the deadline: %s", got)
 	}
-	if got := due(g, "x"); got != "2 1m30s" {
-		t.Errorf("one stage before the end: %s", got)
+	if got := inherited(g, "x"); got != "2 1m30s" {
+		t.Errorf("one stage before the deadline: %s", got)
 	}
-	if u, _ := g.InheritedPriorities(); u != nil {
-		t.Error("nothing changed, but there are new ones")
+	if priorities, _ := g.InheritedPriorities(); priorities != nil {
+		t.Error("nothing changed, but priorities are returned")
 	}
-	// Jobs take longer than estimated: those before them must hurry.
+	// A job of the class took longer than estimated, so its dependencies are due earlier.
 	g.ObserveDuration("last", 10*time.Second, 16*time.Second)
-	if got := due(g, "x"); got != "2 1m24s" {
-		t.Errorf("after a late job: %s", got)
+	if got := inherited(g, "x"); got != "2 1m24s" {
+		t.Errorf("after a job with an overrun: %s", got)
 	}
 	g.ObserveDuration("last", 10*time.Second, 8*time.Second)
-	if got := due(g, "x"); got != "2 1m25.2s" {
-		t.Errorf("after a late and a quick one: %s", got)
+	if got := inherited(g, "x"); got != "2 1m25.2s" {
+		t.Errorf("after a job with an overrun and one without: %s", got)
 	}
-	// A second pipeline through the same job asks for more.
+	// A second dependent of x has a higher priority and an earlier deadline.
 	g.put("e", "x", func(j *model.Job) { j.Priority, j.Deadline = model.Production, 30*time.Second })
-	if got := due(g, "x"); got != "3 20s" {
-		t.Errorf("with a more urgent one: %s", got)
+	if got := inherited(g, "x"); got != "3 20s" {
+		t.Errorf("with a more urgent dependent: %s", got)
 	}
 	g.Remove("e")
 	g.Remove("d")
-	if got := due(g, "a"); got != "0" {
-		t.Errorf("after the last went: %s", got)
+	if got := inherited(g, "a"); got != "0" {
+		t.Errorf("after the last job is removed: %s", got)
 	}
 }
--- a/internal/dag/state.go
+++ b/internal/dag/state.go
@@ -7,41 +7,41 @@
 	"github.com/marlwood/marlwood/internal/placement"
 )
 
-// GraphState is a copy of everything in a graph that its later decisions depend on. It
-// and the types in it are stored in recordings under the names of their fields.
+// GraphState is a copy of all state of a graph that its later decisions depend on. It and
+// the types of its fields are stored in recordings under their Go field names.
 type GraphState struct {
 	Jobs            []WaitingState
 	Needs           []NeedState
-	UnderWay        int  // actions in flight
-	Active, Changed bool // actions may be due; inherited priorities are stale
-	Late            map[string]LateState
+	UnderWay        int                  // number of actions in flight
+	Active, Changed bool                 // actions may be due; inherited priorities are stale
+	Late            map[string]LateState // by class
 }
 
-// WaitingState is a waiting job.
+// WaitingState is the state of a waiting job.
 type WaitingState struct {
 	Record  placement.Record
 	Stamp   uint64 // revision of the record
 	State   State
 	Unmet   []string
-	Writing bool // a write is in flight
-	RetryAt time.Time
+	Writing bool      // a write is in flight
+	RetryAt time.Time // earliest time of the next write
 }
 
-// NeedState is a job that others wait for.
+// NeedState is the state of a job that other jobs wait for.
 type NeedState struct {
 	ID              string
 	Dependents      []string
-	Unsure, Looking bool      // its outcome is unknown; it is being read
-	LookAt          time.Time // no read before this
+	Unsure, Looking bool      // the outcome is unknown; the outcome is being read
+	LookAt          time.Time // earliest time of the next read
 }
 
-// LateState is how much longer than estimated jobs of a class take.
+// LateState is how much longer than estimated the jobs of a class take.
 type LateState struct {
-	Seen bool          // some job of the class is done
-	Over time.Duration // average
+	Seen bool          // at least one job of the class is done
+	Over time.Duration // exponentially weighted average
 }
 
-// Export copies the graph's state.
+// Export returns a copy of the graph's state.
 func (g *Graph) Export() *GraphState {
 	state := &GraphState{
 		UnderWay: g.inFlight,
@@ -82,7 +82,7 @@
 	}
 }
 
-// Import makes a graph that decides like the one whose state was exported.
+// Import returns a graph that makes the same decisions as the graph whose state was exported.
 func Import(log *slog.Logger, state *GraphState) *Graph {
 	g := New(log)
 	g.inFlight, g.active, g.prioritiesStale = state.UnderWay, state.Active, state.Changed
@@ -113,7 +113,8 @@
 	return job
 }
 
-// importDependency needs the waiting jobs, and leaves out dependents that are none.
+// importDependency returns the dependency that was exported. The waiting jobs must be imported
+// first, because dependents that are not waiting jobs are left out.
 func (g *Graph) importDependency(stored NeedState) *dependency {
 	dep := &dependency{
 		dependents:     map[string]*waitingJob{},
@@ -129,7 +130,7 @@
 	return dep
 }
 
-// Records returns the records of the waiting jobs, in order of their IDs.
+// Records returns the records of the waiting jobs, sorted by job ID.
 func (g *Graph) Records() (records []placement.Record) {
 	for _, id := range sortedKeys(g.jobs) {
 		records = append(records, g.jobs[id].record)
