--- a/internal/deadline/deadline.go
+++ b/internal/deadline/deadline.go
@@ -1,66 +1,72 @@
-// Package deadline decides which jobs are boosted to the front of the queue because the time
-// within which each must begin runs out. It is pure: what is known of a job and the time go in.
+// Package deadline decides which jobs are boosted to the front of the queue because they must
+// begin soon to meet the deadline by which every job must have begun. It does no input or output
+// and reads no clock: the facts about a job and the current time are its input.
 //
-// A job begins when as many of its tasks have started as its team's limit allows at once, of a
-// gang or a service all. It is boosted from a lead time before its deadline until it has begun or
-// the deadline is over, and goes before all jobs that are not boosted, by the moment at which its
-// boost began: by age, large jobs sooner, for they take longer to gather. (While more jobs are
-// boosted than can begin in time, the queue goes by the time that each has left.) Nothing is
-// preempted for that, and limits hold; jobs that have begun, that are late or that are not boosted
-// yet go by priority and guarantee.
+// An array job has begun when as many of its tasks have started as its team's limit allows at
+// once; a gang or a service has begun when all of its tasks have started. A job is boosted from
+// its lead time before the deadline until it has begun or the deadline has passed. Boosted jobs
+// are queued before all other jobs, in the order in which their boosts began. That is the order
+// of their age, except that large jobs are boosted sooner because they take longer to gather
+// capacity. (While more jobs are boosted than can begin in time, the queue orders them by the
+// time that each has left.) No task is preempted because of a boost, and limits still hold. Jobs
+// that have begun, that have missed the deadline or that are not boosted yet are ordered by
+// priority and guarantee.
 package deadline
 
 import "time"
 
-// Rule is the deadline that holds for every job, and its margins.
+// Rule is the deadline by which every job must have begun, and the margin of its lead time.
 type Rule struct {
-	BeginWithin time.Duration // of its submission; 0: there is no rule
-	Margin      time.Duration // of the lead time, for rounds, starts and a user's failed attempts to submit
+	BeginWithin time.Duration // time after its submission in which a job must begin; 0 means no deadline
+	Margin      time.Duration // part of the lead time for rounds, starts and a user's failed attempts to submit
 }
 
-// Facts are what is known of a job that waits.
+// Facts holds the properties of a pending job that its boost depends on.
 type Facts struct {
 	Accepted         time.Time
-	TasksToStart     int // for it to begin; 0: it has begun
+	TasksToStart     int // tasks that must still start before the job has begun; 0 if it has begun
 	TaskCPUs         float64
-	TaskRuntime      time.Duration // as estimated
-	ImageFetch       time.Duration // where no machine has its image
-	CapacityCPUs     float64       // that it could have if no other job had any
-	OthersGatherTime time.Duration // what jobs that have waited for long take to gather, one after the other
+	TaskRuntime      time.Duration // estimated
+	ImageFetch       time.Duration // time to fetch the job's image if no machine has it
+	CapacityCPUs     float64       // CPUs that the job could use if no other job used any
+	OthersGatherTime time.Duration // sum of the gather times of the jobs for which CountsAsOther is true
 }
 
-// GatherTime is how long a job's tasks take to start, one after the other on all the capacity that it
-// could have: it can't be less.
+// GatherTime returns how long the job's tasks take to start if they run one after the other on all
+// the capacity that the job could use; they cannot start faster. It returns 0 if the capacity is
+// unknown.
 func (f Facts) GatherTime() time.Duration {
 	if f.CapacityCPUs <= 0 {
 		return 0
 	}
-	turns := float64(f.TasksToStart) * f.TaskCPUs / f.CapacityCPUs
-	return time.Duration(turns * float64(f.TaskRuntime))
+	batches := float64(f.TasksToStart) * f.TaskCPUs / f.CapacityCPUs
+	return time.Duration(batches * float64(f.TaskRuntime))
 }
 
-// longWait is the age from which a job counts among the others of the next, and the time that others
-// may take to gather without making its lead time longer.
+// longWait returns the age from which a job's gather time counts in the OthersGatherTime of later
+// calls. It is also the OthersGatherTime up to which a job's lead time is not extended.
 func (r Rule) longWait() time.Duration { return r.BeginWithin / 4 }
 
-// maxLeadTime bounds the lead time; it is half of the time, so that no job is boosted before that age.
+// maxLeadTime returns the upper bound of lead times, which is half of BeginWithin. No job is
+// boosted before that age.
 func (r Rule) maxLeadTime() time.Duration { return r.BeginWithin / 2 }
 
-// CountsAsOther tells whether a job has waited for so long that it counts among the others of the next.
+// CountsAsOther reports whether a job has waited for so long that its gather time counts in the
+// OthersGatherTime of later calls.
 func (r Rule) CountsAsOther(facts Facts, now time.Time) bool {
 	age := now.Sub(facts.Accepted)
 	return facts.TasksToStart > 0 && age >= r.longWait() && age < r.BeginWithin
 }
 
-// LeadTime is how long before its deadline a job is boosted: the margin, the fetch of its image,
-// twice what it takes to gather and, where others together take more than a quarter of the time,
-// one and a half times what goes beyond that; no more than half of the time.
+// LeadTime returns how long before its deadline a job is boosted. It is the sum of the margin, the
+// time to fetch the image, twice the gather time and, if OthersGatherTime is more than a quarter of
+// BeginWithin, one and a half times the excess. It is at most half of BeginWithin.
 func (r Rule) LeadTime(facts Facts) time.Duration {
-	beyond := max(0, facts.OthersGatherTime-r.longWait())
-	return min(r.Margin+facts.ImageFetch+2*facts.GatherTime()+beyond+beyond/2, r.maxLeadTime())
+	excess := max(0, facts.OthersGatherTime-r.longWait())
+	return min(r.Margin+facts.ImageFetch+2*facts.GatherTime()+excess+excess/2, r.maxLeadTime())
 }
 
-// Boost tells whether a job is boosted, and since when, which is what boosted jobs are ordered by.
+// Boost reports whether a job is boosted, and since when. Boosted jobs are ordered by that time.
 func (r Rule) Boost(facts Facts, now time.Time) (since time.Time, boosted bool) {
 	age := now.Sub(facts.Accepted)
 	if facts.TasksToStart == 0 || age < r.maxLeadTime() || age >= r.BeginWithin {
