--- a/internal/fairqueue/fairqueue.go
+++ b/internal/fairqueue/fairqueue.go
@@ -1,7 +1,7 @@
-// Package fairqueue divides the work of a placement round among the jobs that wait. Most of it goes
-// by the queue's order; a share of it goes to those whose last turn is longest ago, so that no
-// demand at the front, however large, starves the rest of the queue. It is pure: the candidates go
-// in, their turns come out.
+// Package fairqueue divides the work of a placement round among the pending jobs. Most of the work
+// is given out in the order of the queue. The rest goes to the jobs whose last turn was longest ago,
+// so that no demand at the front of the queue, however large, starves the jobs behind it. The package
+// keeps no state and does no input or output.
 package fairqueue
 
 import (
@@ -9,39 +9,40 @@
 	"slices"
 )
 
-// Candidate is a job that waits and that some machine may have free capacity for.
+// Candidate is a pending job for which some machine may have free capacity.
 type Candidate struct {
-	Tasks    int    // that it could place now; at least one
-	Gang     bool   // all of its tasks are tried or none
-	LastTurn uint64 // the last round in which it had a turn
+	Tasks    int    // number of tasks that the job could place now; at least one
+	Gang     bool   // either all tasks are tried or none
+	LastTurn uint64 // number of the last round in which the job had a turn
 }
 
-// Shares is the work of one round, in tasks that are tried.
+// Shares is the division of the work of one round into two shares. The work is counted in tasks that are tried.
 type Shares struct {
-	InOrder    int // goes by the queue's order
-	ByLastTurn int // goes to those whose last turn is longest ago
-	MaxPerJob  int // most tasks of one job that is not a gang in the share by last turn
+	InOrder    int // tasks given out in the order of the queue
+	ByLastTurn int // tasks given to the jobs whose last turn was longest ago
+	MaxPerJob  int // maximum tasks of one job in the share ByLastTurn; does not apply to gangs
 }
 
-// Turn is a candidate's part in a round.
+// Turn is the work that one candidate gets in a round.
 type Turn struct {
-	Index int // of the candidate
-	Tasks int // that are tried
+	Index int // index of the candidate
+	Tasks int // number of tasks that are tried
 }
 
-// Divide says which candidates have a turn, in the order of the candidates, which is the
-// queue's. Each gang has its turn whole: the last one of a share may go beyond it.
+// Divide returns the turns of a round. The candidates must be in the order of the queue, and the
+// turns have the same order. A gang's turn always covers all its tasks, so the last gang of a share
+// may exceed the share.
 func (s Shares) Divide(candidates []Candidate) []Turn {
 	var turns []Turn
-	remaining, reached := s.InOrder, 0
-	for ; reached < len(candidates) && remaining > 0; reached++ {
-		tasks := candidates[reached].turnSize(remaining)
+	remaining, next := s.InOrder, 0
+	for ; next < len(candidates) && remaining > 0; next++ {
+		tasks := candidates[next].turnSize(remaining)
 		remaining -= tasks
-		turns = append(turns, Turn{Index: reached, Tasks: tasks})
+		turns = append(turns, Turn{Index: next, Tasks: tasks})
 	}
-	first := len(turns)
+	inOrder := len(turns)
 	remaining = s.ByLastTurn
-	for _, i := range s.longestWaiting(candidates, reached) {
+	for _, i := range s.longestWaiting(candidates, next) {
 		if remaining <= 0 {
 			break
 		}
@@ -49,39 +50,42 @@
 		remaining -= tasks
 		turns = append(turns, Turn{Index: i, Tasks: tasks})
 	}
-	slices.SortFunc(turns[first:], func(x, y Turn) int { return cmp.Compare(x.Index, y.Index) })
+	slices.SortFunc(turns[inOrder:], func(x, y Turn) int { return cmp.Compare(x.Index, y.Index) })
 	return turns
 }
 
-// turnSize is how many of the candidate's tasks are tried, at most so many unless it is a gang.
-func (c Candidate) turnSize(most int) int {
+// turnSize returns how many of the candidate's tasks are tried: all tasks of a gang, and at most
+// limit tasks of other jobs.
+func (c Candidate) turnSize(limit int) int {
 	if c.Gang {
 		return c.Tasks
 	}
-	return min(c.Tasks, most)
+	return min(c.Tasks, limit)
 }
 
-// longestWaiting lists the candidates from an index on whose last turn is longest ago, no more than
-// the share by last turn can take; of equals those that stand first in the queue.
+// longestWaiting returns the indexes of the candidates, starting at index from, whose last turn was
+// longest ago, at most as many as the share ByLastTurn has tasks. Among candidates with the same last
+// turn, those earlier in the queue come first.
 //
-// Guard: ten thousand jobs may wait, and a round takes a few of them. To sort them all in
-// every round takes longer than all else of it.
+// Guard: ten thousand jobs may be pending, and a round takes only a few of them. Sorting all of
+// them in every round takes longer than the rest of the round.
 func (s Shares) longestWaiting(candidates []Candidate, from int) []int {
-	var longest []int
+	var selected []int
 	for i := from; i < len(candidates); i++ {
-		at, _ := slices.BinarySearchFunc(longest, i, func(x, y int) int {
+		position, _ := slices.BinarySearchFunc(selected, i, func(x, y int) int {
 			return cmp.Or(cmp.Compare(candidates[x].LastTurn, candidates[y].LastTurn), cmp.Compare(x, y))
 		})
-		if at < s.ByLastTurn {
-			longest = slices.Insert(longest, at, i)
-			longest = longest[:min(len(longest), s.ByLastTurn)]
+		if position < s.ByLastTurn {
+			selected = slices.Insert(selected, position, i)
+			selected = selected[:min(len(selected), s.ByLastTurn)]
 		}
 	}
-	return longest
+	return selected
 }
 
-// MaxRounds is the most rounds until each of n candidates has had a turn, whatever stands before
-// it: largest is the most tasks that one of them tries in the share by last turn.
+// MaxRounds returns the maximum number of rounds until each of n candidates has had a turn, whatever
+// is ahead of it in the queue. largest is the maximum number of tasks that one of them tries in the
+// share ByLastTurn.
 func (s Shares) MaxRounds(n, largest int) int {
 	turnsPerRound := max(1, s.ByLastTurn/max(1, largest))
 	return (n + turnsPerRound - 1) / turnsPerRound
