--- a/internal/capacityindex/capacityindex.go
+++ b/internal/capacityindex/capacityindex.go
@@ -1,6 +1,6 @@
-// Package capacityindex is an index of the free capacity of many machines, which tells in a few
-// steps whether any of them may fit a task. It is approximate on one side: it never says no where
-// a machine fits, and says yes a little too often.
+// Package capacityindex indexes the free capacity of many machines and reports in a few steps
+// whether a task may fit on any of them. The index is approximate in one direction only: it never
+// answers no if the task fits on some machine, but it sometimes answers yes if it fits on none.
 package capacityindex
 
 import (
@@ -11,41 +11,46 @@
 
 const (
 	rowsPerCPU = 4
-	maxRows    = 1024 // machines of more CPUs share the last row
-	rounding   = 1e-5 // in rows: a size computed in floating point still has its own row
+	maxRows    = 1024 // machines with more free CPUs share the last row
+	rounding   = 1e-5 // in rows; keeps a size with a floating-point error in its own row
 )
 
-// maxima is the most memory and the most GPUs, not necessarily of the same machine.
+// maxima holds the largest free memory and the largest number of free GPUs of a group of machines. The two may
+// belong to different machines.
 type maxima struct {
 	memoryGB float64
 	gpus     float64
-	any      bool // there is a machine at all
+	any      bool // the group has at least one machine
 }
 
+// raise adds the machines of other to the group.
 func (m *maxima) raise(other maxima) {
 	m.any = m.any || other.any
 	m.memoryGB, m.gpus = max(m.memoryGB, other.memoryGB), max(m.gpus, other.gpus)
 }
 
-// Index is the free capacity of many machines, by how many CPUs are free at least. The zero Index
-// has no machines. It is not safe for concurrent use, queries included.
+// Index is an index of the free capacity of many machines. Its rows are ordered by the number of
+// free CPUs, in steps of 1/rowsPerCPU. The zero Index has no machines. An Index is not safe for
+// concurrent use, not even for concurrent queries.
 type Index struct {
-	rows       []maxima // of the machines with as many free CPUs as the row says
-	cumulative bool     // each row has the machines of all later rows as well
+	rows       []maxima // by row number, see rowOf
+	cumulative bool     // each row also covers the machines of all later rows
 }
 
+// rowOf returns the number of the row for a number of CPUs.
 func rowOf(cpus float64) int {
 	return min(maxRows-1, max(0, int(math.Floor(cpus*rowsPerCPU+rounding))))
 }
 
-// grow makes the index have so many rows at least.
+// grow extends the index to at least the given number of rows.
 func (x *Index) grow(rows int) {
 	for len(x.rows) < rows {
 		x.rows = append(x.rows, maxima{})
 	}
 }
 
-// Add adds a machine by its free capacity; one that is overcommitted is left out.
+// Add adds a machine with the given free capacity. It leaves out machines that are overcommitted,
+// that is, whose free capacity is negative.
 func (x *Index) Add(free model.Size) {
 	if free.CPUs < 0 || free.MemoryGB < 0 || free.GPUs < 0 {
 		return
@@ -56,7 +61,7 @@
 	x.cumulative = false
 }
 
-// Merge adds the machines of another index, which stays as it is.
+// Merge adds the machines of another index, which is not modified.
 func (x *Index) Merge(other *Index) {
 	x.grow(len(other.rows))
 	for i, row := range other.rows {
@@ -65,18 +70,19 @@
 	x.cumulative = false
 }
 
-// MayFit tells whether a task of a size may fit on some machine; no is certain.
+// MayFit reports whether a task of the given size may fit on some machine. If it returns false, the
+// task fits on none.
 func (x *Index) MayFit(size model.Size) bool {
 	x.accumulate()
 	row := rowOf(size.CPUs)
 	if row >= len(x.rows) || !x.rows[row].any {
 		return false
 	}
-	most := model.Size{GPUs: x.rows[row].gpus, MemoryGB: x.rows[row].memoryGB}
-	return model.Size{GPUs: size.GPUs, MemoryGB: size.MemoryGB}.Fits(most)
+	largest := model.Size{GPUs: x.rows[row].gpus, MemoryGB: x.rows[row].memoryGB}
+	return model.Size{GPUs: size.GPUs, MemoryGB: size.MemoryGB}.Fits(largest)
 }
 
-// accumulate adds to each row the machines of all later ones.
+// accumulate adds the machines of all later rows to each row.
 func (x *Index) accumulate() {
 	if x.cumulative {
 		return
--- a/internal/capacityindex/capacityindex_test.go
+++ b/internal/capacityindex/capacityindex_test.go
@@ -8,8 +8,9 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
+// sizes draws sizes in steps of a tenth.
 var sizes = rapid.Custom(func(t *rapid.T) model.Size {
-	tenths := func(label string, most int) float64 { return float64(rapid.IntRange(0, most).Draw(t, label)) / 10 }
+	tenths := func(label string, limit int) float64 { return float64(rapid.IntRange(0, limit).Draw(t, label)) / 10 }
 	return model.Size{
 		CPUs:     tenths("cpus", 400),
 		GPUs:     tenths("gpus", 20),
@@ -17,20 +18,21 @@
 	}
 })
 
-// No is certain, and a size of more CPUs or memory than any machine has is refused.
+// MayFit must never return false for a task that fits on a machine, because placement does not try a
+// job without a fit. It must return false for a size with more CPUs or memory than any machine has free.
 func TestMayFit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		machines := rapid.SliceOfN(sizes, 0, 8).Draw(t, "machines")
-		var index, half Index
+		var index, other Index
 		for i, machine := range machines {
 			if i%2 == 0 {
-				half.Add(machine)
+				other.Add(machine)
 			} else {
 				index.Add(machine)
 			}
 		}
-		half.MayFit(model.Size{}) // it is cumulative when it is merged
-		index.Merge(&half)
+		other.MayFit(model.Size{}) // makes the rows of other cumulative before the merge
+		index.Merge(&other)
 		queries := append(rapid.SliceOfN(sizes, 1, 8).Draw(t, "queries"), machines...)
 		for _, size := range queries {
 			fits, enoughCPUs, enoughMemory := false, false, false
@@ -41,10 +43,10 @@
 			}
 			mayFit := index.MayFit(size)
 			if fits && !mayFit {
-				t.Fatalf("%v on %v: refused, but it fits", size, machines)
+				t.Fatalf("size %v, machines %v: MayFit is false, but the size fits", size, machines)
 			}
 			if mayFit && (!enoughCPUs || !enoughMemory) {
-				t.Fatalf("%v on %v: it may fit, but no machine has the CPUs or none the memory", size, machines)
+				t.Fatalf("size %v, machines %v: MayFit is true, but no machine has enough CPUs or none has enough memory", size, machines)
 			}
 		}
 	})
