--- a/internal/reservation/claim_test.go
+++ b/internal/reservation/claim_test.go
@@ -12,21 +12,21 @@
 
 var t0 = time.Unix(1000, 0)
 
-// Each event leads to its state, and has no effect in the states that it does not start from.
-func TestStates(t *testing.T) {
+// Each event leads to the expected state, and has no effect in states from which it has no transition.
+func TestStateTransitions(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		event func(c *Claim)
 		want  State
 	}{
-		{"machines are chosen", func(*Claim) {}, Requested},
+		{"new claim", func(*Claim) {}, Requested},
 		{"stored", func(c *Claim) { c.Stored(1) }, Claimed},
-		{"an older version is stored", func(c *Claim) { c.MemberFailed(0); c.Replace(0, "z"); c.Stored(1) }, Requested},
+		{"an older version is stored after a repair", func(c *Claim) { c.MemberFailed(0); c.Replace(0, "z"); c.Stored(1) }, Requested},
 		{"ordered", func(c *Claim) { c.Stored(1); c.Ordered() }, Starting},
-		{"ordered before it is stored", func(c *Claim) { c.Ordered() }, Requested},
+		{"members are ordered before the claim is stored", func(c *Claim) { c.Ordered() }, Requested},
 		{"a member fails", func(c *Claim) { c.Stored(1); c.Ordered(); c.MemberFailed(1) }, Repairing},
-		{"one of two has another machine", func(c *Claim) { c.MemberFailed(0); c.MemberFailed(1); c.Replace(1, "z") }, Repairing},
-		{"both have: it is to be stored again", func(c *Claim) {
+		{"one of two failed members is replaced", func(c *Claim) { c.MemberFailed(0); c.MemberFailed(1); c.Replace(1, "z") }, Repairing},
+		{"both failed members are replaced, so the claim must be stored again", func(c *Claim) {
 			c.Stored(1)
 			c.MemberFailed(0)
 			c.MemberFailed(1)
@@ -34,9 +34,9 @@
 			c.Replace(0, "y")
 		}, Requested},
 		{"the repaired version is stored", func(c *Claim) { c.MemberFailed(0); c.Replace(0, "y"); c.Stored(2) }, Claimed},
-		{"all run", func(c *Claim) { c.Stored(1); c.Ordered(); c.MembersRunning() }, Running},
-		{"a member fails after that", func(c *Claim) { c.MembersRunning(); c.MemberFailed(0) }, Running},
-		{"given up", func(c *Claim) { c.Stored(1); c.Release(); c.Stored(1); c.MemberFailed(0) }, Released},
+		{"all members run", func(c *Claim) { c.Stored(1); c.Ordered(); c.MembersRunning() }, Running},
+		{"a member fails after all members ran", func(c *Claim) { c.MembersRunning(); c.MemberFailed(0) }, Running},
+		{"events after the claim was released", func(c *Claim) { c.Stored(1); c.Release(); c.Stored(1); c.MemberFailed(0) }, Released},
 	} {
 		claim := New(7, []string{"a", "b"}, t0)
 		c.event(claim)
@@ -46,21 +46,22 @@
 	}
 	var none *Claim
 	if none.Active() {
-		t.Error("no claim is active")
+		t.Error("a nil claim is active")
 	}
 }
 
-// A failed member is replaced within two thirds of the time that the others wait.
+// A failed member may be replaced only in the first two thirds of the time that the other members wait.
 func TestMayRepair(t *testing.T) {
 	const gangWait = 30 * time.Second
 	claim := New(7, nil, t0)
 	if !claim.MayRepair(t0.Add(19*time.Second), gangWait) || claim.MayRepair(t0.Add(20*time.Second), gangWait) {
-		t.Error("repaired at the wrong time")
+		t.Error("MayRepair must be true after 19 s and false after 20 s")
 	}
 }
 
-// A stored claim is restored as it was, and 300 members fit the smallest limit on values.
-func TestRecord(t *testing.T) {
+// A stored claim is restored with the same machines and attempt, the record of 300 members stays within the smallest
+// size limit on stored values, and malformed records are refused.
+func TestRecordRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var machines []string
 		for range rapid.IntRange(1, 300).Draw(t, "members") {
@@ -68,7 +69,7 @@
 		}
 		text, err := json.Marshal(New(9, machines, t0).Record())
 		if err != nil || len(text) > 3000 {
-			t.Fatalf("%d members take %d bytes, %v", len(machines), len(text), err)
+			t.Fatalf("record of %d members takes %d bytes, error %v", len(machines), len(text), err)
 		}
 		var record Record
 		if err := json.Unmarshal(text, &record); err != nil {
@@ -76,7 +77,7 @@
 		}
 		claim, err := record.Restore(t0)
 		if err != nil || !reflect.DeepEqual(claim.Machines, machines) || claim.Attempt != 9 || claim.State != Claimed {
-			t.Fatalf("%+v, %v", claim, err)
+			t.Fatalf("restored claim %+v, error %v", claim, err)
 		}
 	})
 	for _, record := range []Record{
@@ -86,7 +87,7 @@
 		{Attempt: 1, Machines: "?"},
 	} {
 		if claim, err := record.Restore(t0); err == nil {
-			t.Errorf("%+v is restored as %+v", record, claim)
+			t.Errorf("malformed record %+v is restored as %+v", record, claim)
 		}
 	}
 }
