--- a/internal/dag/graph_test.go
+++ b/internal/dag/graph_test.go
@@ -63,10 +63,10 @@
 	return strings.Join(did, " ") + " and so on"
 }
 
-// Guards against jobs that are released too early, or never released or cancelled after their
-// dependencies ended. A graph can miss an end: a dependency may end between the check at the job's
-// submission and the write of the waiting record, and a leader may be lost before it has written
-// all releases and cancellations. The graph must then read the stored outcomes.
+// A job must not be released too early, and must not be left waiting after its dependencies ended.
+// A graph can miss an end: a dependency may end between the check at the job's submission and the
+// write of the waiting record, and a leader may be lost before it has written all releases and
+// cancellations. The graph must then read the stored outcomes.
 func TestReleasesAndCancellations(t *testing.T) {
 	type stages = map[string]model.Stage
 	for _, c := range []struct {
--- a/internal/deadline/deadline_test.go
+++ b/internal/deadline/deadline_test.go
@@ -10,8 +10,8 @@
 // testStart is the time at which the jobs under test are accepted.
 var testStart = time.Unix(1000, 0)
 
-// smallJob returns the facts of a job of one small task, modified by change.
-func smallJob(change func(f *Facts)) Facts {
+// factsWith returns the facts of a job with one small task after applying change to them.
+func factsWith(change func(f *Facts)) Facts {
 	facts := Facts{Accepted: testStart, TasksToStart: 1, TaskCPUs: 2, TaskRuntime: 60 * sec, CapacityCPUs: 1200}
 	change(&facts)
 	return facts
@@ -21,7 +21,7 @@
 // reported with the time at which it began.
 func TestBoost(t *testing.T) {
 	rule := Rule{BeginWithin: 240 * sec, Margin: 30 * sec}
-	small := smallJob(func(*Facts) {})
+	small := factsWith(func(*Facts) {})
 	for _, test := range []struct {
 		name  string
 		rule  Rule
@@ -34,31 +34,31 @@
 			from: 209800 * time.Millisecond, until: 240 * sec,
 		},
 		{
-			name: "a job whose image must be fetched", rule: rule, facts: smallJob(func(f *Facts) { f.ImageFetch = 40 * sec }),
+			name: "a job whose image must be fetched", rule: rule, facts: factsWith(func(f *Facts) { f.ImageFetch = 40 * sec }),
 			from: 169800 * time.Millisecond, until: 240 * sec,
 		},
 		{
-			name: "a large job", rule: rule, facts: smallJob(func(f *Facts) { f.TasksToStart = 300 }),
+			name: "a large job", rule: rule, facts: factsWith(func(f *Facts) { f.TasksToStart = 300 }),
 			from: 150 * sec, until: 240 * sec,
 		},
 		{
-			name: "OthersGatherTime is above a quarter of BeginWithin", rule: rule, facts: smallJob(func(f *Facts) { f.OthersGatherTime = 100 * sec }),
+			name: "OthersGatherTime is above a quarter of BeginWithin", rule: rule, facts: factsWith(func(f *Facts) { f.OthersGatherTime = 100 * sec }),
 			from: 149800 * time.Millisecond, until: 240 * sec,
 		},
 		{
-			name: "OthersGatherTime is a quarter of BeginWithin", rule: rule, facts: smallJob(func(f *Facts) { f.OthersGatherTime = 60 * sec }),
+			name: "OthersGatherTime is a quarter of BeginWithin", rule: rule, facts: factsWith(func(f *Facts) { f.OthersGatherTime = 60 * sec }),
 			from: 209800 * time.Millisecond, until: 240 * sec,
 		},
 		{
-			name: "a huge job, limited to half of BeginWithin", rule: rule, facts: smallJob(func(f *Facts) { f.TasksToStart = 30000 }),
+			name: "a huge job, limited to half of BeginWithin", rule: rule, facts: factsWith(func(f *Facts) { f.TasksToStart = 30000 }),
 			from: 120 * sec, until: 240 * sec,
 		},
 		{
-			name: "the capacity is unknown", rule: rule, facts: smallJob(func(f *Facts) { f.CapacityCPUs = 0 }),
+			name: "the capacity is unknown", rule: rule, facts: factsWith(func(f *Facts) { f.CapacityCPUs = 0 }),
 			from: 210 * sec, until: 240 * sec,
 		},
 		{
-			name: "the job has begun", rule: rule, facts: smallJob(func(f *Facts) { f.TasksToStart = 0 }),
+			name: "the job has begun", rule: rule, facts: factsWith(func(f *Facts) { f.TasksToStart = 0 }),
 			from: 0, until: 0,
 		},
 		{
--- a/internal/reservation/claim.go
+++ b/internal/reservation/claim.go
@@ -39,7 +39,7 @@
 	Machines []string // machine names by member; "" for a member without a machine
 	State    State
 	Since    time.Time // when the attempt was first claimed or restored, by this leader's clock
-	Version  int       // number of the present choice of machines; Stored compares it with the version that was stored
+	Version  int       // counts the choices of machines; Stored ignores a version that is not the latest
 }
 
 // New returns a claim of an attempt. machines holds the name of each member's machine.
@@ -47,7 +47,7 @@
 	return &Claim{Attempt: attempt, Machines: slices.Clone(machines), Since: now, Version: 1}
 }
 
-// setState changes the claim's state if it is one of the states in from. Otherwise it does nothing and returns
+// setState changes the claim's state if the present state is one of from. Otherwise it does nothing and returns
 // false. No other function may change the state.
 func (c *Claim) setState(state State, from ...State) bool {
 	if !slices.Contains(from, c.State) {
