--- a/internal/scale/cmd/main.go
+++ b/internal/scale/cmd/main.go
@@ -26,6 +26,7 @@
 
 type runCmd struct {
 	Program      string        `help:"The built marlwood." default:"target/marlwood" type:"existingfile"`
+	OtherProgram string        `help:"Another build of marlwood, which every second controller runs." type:"existingfile" optional:""`
 	Share        float64       `help:"Share of the planned size, up to 1." default:"0.05"`
 	For          time.Duration `help:"How long users go on." default:"1m"`
 	Peak         time.Duration `help:"How long of that the peak lasts." default:"20s"`
@@ -82,7 +83,7 @@
 	if err != nil {
 		return scale.Options{}, err
 	}
-	o := scale.Options{Program: c.Program, Region: []string{self, "region"}, Share: c.Share, For: c.For, Peak: c.Peak, Seed: c.Seed,
+	o := scale.Options{Program: c.Program, OtherProgram: c.OtherProgram, Region: []string{self, "region"}, Share: c.Share, For: c.For, Peak: c.Peak, Seed: c.Seed,
 		KillLeader: c.KillLeader, Settings: c.Settings, Log: c.Out}
 	if c.Out != "" {
 		if err := os.MkdirAll(c.Out, 0o755); err != nil {
--- a/internal/scale/options.go
+++ b/internal/scale/options.go
@@ -9,6 +9,7 @@
 // Options say what a run plays.
 type Options struct {
 	Program      string        // that is run as marlwood
+	OtherProgram string        // another build, which every second controller runs; "": all run Program
 	Region       []string      // command that serves a region (ServeRegion)
 	Share        float64       // of the planned size, above 0 and at most 1
 	For          time.Duration // how long users go on
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -21,6 +21,7 @@
 // controller is a real one, as a process of its own.
 type controller struct {
 	name, zone, listen, peer string
+	program                  string // the build that it runs
 	process                  *process
 	killed                   bool // by the run, until it is started again
 	samples                  []Sample
@@ -136,7 +137,10 @@
 // nameControllers names a region's controllers and takes their addresses.
 func (r *run) nameControllers(g *regionRun) error {
 	for i := range controllersEach {
-		c := &controller{name: fmt.Sprintf("%s-c%d", g.plan.Region, i+1), zone: g.plan.Zones[i%len(g.plan.Zones)]}
+		c := &controller{name: fmt.Sprintf("%s-c%d", g.plan.Region, i+1), zone: g.plan.Zones[i%len(g.plan.Zones)], program: r.opt.Program}
+		if i%2 == 1 && r.opt.OtherProgram != "" {
+			c.program = r.opt.OtherProgram
+		}
 		for _, a := range []*string{&c.listen, &c.peer} {
 			addr, err := r.freeAddr()
 			if err != nil {
@@ -232,7 +236,7 @@
 	if err := writePlatform(path, g, c); err != nil {
 		return err
 	}
-	cmd := exec.Command(r.opt.Program, "serve", "--config", path, "--settings", g.settings)
+	cmd := exec.Command(c.program, "serve", "--config", path, "--settings", g.settings)
 	cmd.Env = append(os.Environ(), "LOG_LEVEL=info")
 	cmd.Stderr = io.Discard
 	if r.opt.Log != "" {
