--- a/internal/dag/actions.go
+++ b/internal/dag/actions.go
@@ -36,9 +36,9 @@
 	Final    placement.Final  // for Cancel: the final record of the job
 }
 
-// Check marks each dependency that is neither waiting nor open as having an unknown outcome, so
+// MarkUnknownOutcomes marks each dependency that is neither waiting nor open as having an unknown outcome, so
 // that Actions asks for its stored outcome. isOpen reports whether a job has an open record.
-func (g *Graph) Check(isOpen func(id string) bool) {
+func (g *Graph) MarkUnknownOutcomes(isOpen func(id string) bool) {
 	for id, dep := range g.dependencies {
 		dep.outcomeUnknown = !g.Has(id) && !isOpen(id)
 		g.active = g.active || dep.outcomeUnknown
--- a/internal/dag/graph_test.go
+++ b/internal/dag/graph_test.go
@@ -36,7 +36,7 @@
 func (g *Graph) runActions(open map[string]bool, over map[string]model.Stage) string {
 	var did []string
 	for s := 1.0; s < 100; s++ {
-		g.Check(func(id string) bool { return open[id] })
+		g.MarkUnknownOutcomes(func(id string) bool { return open[id] })
 		actions := g.Actions(at(s))
 		if len(actions) == 0 {
 			return strings.Join(did, " ")
@@ -158,7 +158,7 @@
 	for i := range 500 {
 		g.put(fmt.Sprintf("b%03d", i), fmt.Sprintf("a%03d", i), nil)
 	}
-	g.Check(func(string) bool { return true })
+	g.MarkUnknownOutcomes(func(string) bool { return true })
 	g.Actions(at(1))
 	g.InheritedPriorities()
 	if allocs := testing.AllocsPerRun(10, func() { g.Actions(at(2)); g.InheritedPriorities() }); allocs > 0 {
--- a/internal/scheduler/apply.go
+++ b/internal/scheduler/apply.go
@@ -177,7 +177,7 @@
 // and passes the priorities of waiting jobs on to the jobs that they depend on.
 func (s *Scheduler) applyResolveDependencies(now time.Time, event *recordpb.Graph) []dag.Action {
 	if event.Check {
-		s.graph.Check(s.isOpen)
+		s.graph.MarkUnknownOutcomes(s.isOpen)
 	}
 	actions := s.graph.Actions(now)
 	if priorities, changed := s.graph.InheritedPriorities(); changed {
