--- a/internal/deadline/deadline.go
+++ b/internal/deadline/deadline.go
@@ -21,21 +21,21 @@
 	Margin      time.Duration // part of the lead time for rounds, starts and a user's failed attempts to submit
 }
 
-// Facts holds the properties of a pending job that its boost depends on.
-type Facts struct {
-	Accepted         time.Time
-	TasksToStart     int // tasks that must still start before the job has begun; 0 if it has begun
-	TaskCPUs         float64
-	TaskRuntime      time.Duration // estimated
-	ImageFetch       time.Duration // time to fetch the job's image if no machine has it
-	CapacityCPUs     float64       // CPUs that the job could use if no other job used any
-	OthersGatherTime time.Duration // sum of the gather times of the jobs for which CountsAsOther is true
+// JobFacts holds the properties of a pending job that its boost depends on.
+type JobFacts struct {
+	Accepted              time.Time
+	TasksToStart          int // tasks that must still start before the job has begun; 0 if it has begun
+	TaskCPUs              float64
+	TaskRuntime           time.Duration // estimated
+	ImageFetch            time.Duration // time to fetch the job's image if no machine has it
+	CapacityCPUs          float64       // CPUs that the job could use if no other job used any
+	LongWaitingGatherTime time.Duration // sum of the gather times of the jobs for which IsLongWaiting is true
 }
 
 // GatherTime returns how long the job's tasks take to start if they run one after the other on all
 // the capacity that the job could use; they cannot start faster. It returns 0 if the capacity is
 // unknown.
-func (f Facts) GatherTime() time.Duration {
+func (f JobFacts) GatherTime() time.Duration {
 	if f.CapacityCPUs <= 0 {
 		return 0
 	}
@@ -43,31 +43,31 @@
 	return time.Duration(batches * float64(f.TaskRuntime))
 }
 
-// longWait returns the age from which a job's gather time counts in the OthersGatherTime of later
-// calls. It is also the OthersGatherTime up to which a job's lead time is not extended.
+// longWait returns the age from which a job's gather time counts in the LongWaitingGatherTime of
+// later calls. It is also the LongWaitingGatherTime up to which a job's lead time is not extended.
 func (r Rule) longWait() time.Duration { return r.BeginWithin / 4 }
 
 // maxLeadTime returns the upper bound of lead times, which is half of BeginWithin. No job is
 // boosted before that age.
 func (r Rule) maxLeadTime() time.Duration { return r.BeginWithin / 2 }
 
-// CountsAsOther reports whether a job has waited for so long that its gather time counts in the
-// OthersGatherTime of later calls.
-func (r Rule) CountsAsOther(facts Facts, now time.Time) bool {
+// IsLongWaiting reports whether a job has waited for so long that its gather time counts in the
+// LongWaitingGatherTime of later calls.
+func (r Rule) IsLongWaiting(facts JobFacts, now time.Time) bool {
 	age := now.Sub(facts.Accepted)
 	return facts.TasksToStart > 0 && age >= r.longWait() && age < r.BeginWithin
 }
 
 // LeadTime returns how long before its deadline a job is boosted. It is the sum of the margin, the
-// time to fetch the image, twice the gather time and, if OthersGatherTime is more than a quarter of
-// BeginWithin, one and a half times the excess. It is at most half of BeginWithin.
-func (r Rule) LeadTime(facts Facts) time.Duration {
-	excess := max(0, facts.OthersGatherTime-r.longWait())
+// time to fetch the image, twice the gather time and, if LongWaitingGatherTime is more than a
+// quarter of BeginWithin, one and a half times the excess. It is at most half of BeginWithin.
+func (r Rule) LeadTime(facts JobFacts) time.Duration {
+	excess := max(0, facts.LongWaitingGatherTime-r.longWait())
 	return min(r.Margin+facts.ImageFetch+2*facts.GatherTime()+excess+excess/2, r.maxLeadTime())
 }
 
 // Boost reports whether a job is boosted, and since when. Boosted jobs are ordered by that time.
-func (r Rule) Boost(facts Facts, now time.Time) (since time.Time, boosted bool) {
+func (r Rule) Boost(facts JobFacts, now time.Time) (since time.Time, boosted bool) {
 	age := now.Sub(facts.Accepted)
 	if facts.TasksToStart == 0 || age < r.maxLeadTime() || age >= r.BeginWithin {
 		return time.Time{}, false
--- a/internal/deadline/deadline_test.go
+++ b/internal/deadline/deadline_test.go
@@ -11,8 +11,8 @@
 var testStart = time.Unix(1000, 0)
 
 // factsWith returns the facts of a job with one small task after applying change to them.
-func factsWith(change func(f *Facts)) Facts {
-	facts := Facts{Accepted: testStart, TasksToStart: 1, TaskCPUs: 2, TaskRuntime: 60 * sec, CapacityCPUs: 1200}
+func factsWith(change func(f *JobFacts)) JobFacts {
+	facts := JobFacts{Accepted: testStart, TasksToStart: 1, TaskCPUs: 2, TaskRuntime: 60 * sec, CapacityCPUs: 1200}
 	change(&facts)
 	return facts
 }
@@ -21,11 +21,11 @@
 // reported with the time at which it began.
 func TestBoost(t *testing.T) {
 	rule := Rule{BeginWithin: 240 * sec, Margin: 30 * sec}
-	small := factsWith(func(*Facts) {})
+	small := factsWith(func(*JobFacts) {})
 	for _, test := range []struct {
 		name  string
 		rule  Rule
-		facts Facts
+		facts JobFacts
 		from  time.Duration // age from which the job is boosted
 		until time.Duration // age from which it no longer is
 	}{
@@ -34,31 +34,31 @@
 			from: 209800 * time.Millisecond, until: 240 * sec,
 		},
 		{
-			name: "a job whose image must be fetched", rule: rule, facts: factsWith(func(f *Facts) { f.ImageFetch = 40 * sec }),
+			name: "a job whose image must be fetched", rule: rule, facts: factsWith(func(f *JobFacts) { f.ImageFetch = 40 * sec }),
 			from: 169800 * time.Millisecond, until: 240 * sec,
 		},
 		{
-			name: "a large job", rule: rule, facts: factsWith(func(f *Facts) { f.TasksToStart = 300 }),
+			name: "a large job", rule: rule, facts: factsWith(func(f *JobFacts) { f.TasksToStart = 300 }),
 			from: 150 * sec, until: 240 * sec,
 		},
 		{
-			name: "OthersGatherTime is above a quarter of BeginWithin", rule: rule, facts: factsWith(func(f *Facts) { f.OthersGatherTime = 100 * sec }),
+			name: "LongWaitingGatherTime is above a quarter of BeginWithin", rule: rule, facts: factsWith(func(f *JobFacts) { f.LongWaitingGatherTime = 100 * sec }),
 			from: 149800 * time.Millisecond, until: 240 * sec,
 		},
 		{
-			name: "OthersGatherTime is a quarter of BeginWithin", rule: rule, facts: factsWith(func(f *Facts) { f.OthersGatherTime = 60 * sec }),
+			name: "LongWaitingGatherTime is a quarter of BeginWithin", rule: rule, facts: factsWith(func(f *JobFacts) { f.LongWaitingGatherTime = 60 * sec }),
 			from: 209800 * time.Millisecond, until: 240 * sec,
 		},
 		{
-			name: "a huge job, limited to half of BeginWithin", rule: rule, facts: factsWith(func(f *Facts) { f.TasksToStart = 30000 }),
+			name: "a huge job, limited to half of BeginWithin", rule: rule, facts: factsWith(func(f *JobFacts) { f.TasksToStart = 30000 }),
 			from: 120 * sec, until: 240 * sec,
 		},
 		{
-			name: "the capacity is unknown", rule: rule, facts: factsWith(func(f *Facts) { f.CapacityCPUs = 0 }),
+			name: "the capacity is unknown", rule: rule, facts: factsWith(func(f *JobFacts) { f.CapacityCPUs = 0 }),
 			from: 210 * sec, until: 240 * sec,
 		},
 		{
-			name: "the job has begun", rule: rule, facts: factsWith(func(f *Facts) { f.TasksToStart = 0 }),
+			name: "the job has begun", rule: rule, facts: factsWith(func(f *JobFacts) { f.TasksToStart = 0 }),
 			from: 0, until: 0,
 		},
 		{
@@ -91,12 +91,12 @@
 		{age: 4 * time.Minute, want: false},
 	} {
 		t.Run(test.age.String(), func(t *testing.T) {
-			facts := Facts{Accepted: testStart, TasksToStart: 1}
-			if got := rule.CountsAsOther(facts, testStart.Add(test.age)); got != test.want {
+			facts := JobFacts{Accepted: testStart, TasksToStart: 1}
+			if got := rule.IsLongWaiting(facts, testStart.Add(test.age)); got != test.want {
 				t.Errorf("a job that has not begun: counts %v", got)
 			}
 			facts.TasksToStart = 0
-			if rule.CountsAsOther(facts, testStart.Add(test.age)) {
+			if rule.IsLongWaiting(facts, testStart.Add(test.age)) {
 				t.Error("a job that has begun counts")
 			}
 		})
--- a/internal/placement/cluster_state.go
+++ b/internal/placement/cluster_state.go
@@ -74,15 +74,15 @@
 	maxPartsAccepted int    // limit on the parts of a transaction after a rejected write; 0: the limit of the settings
 
 	// The queue, and the current round.
-	lastQueue     []*Job
-	queueCount    uint64
-	classes       *model.Table[string, *classArrivals]
-	gatheringTime time.Duration // time that jobs which have waited for long take to gather capacity, as of the last queue
-	usableCPUs    float64       // last computed sum over the machines on which tasks may be started
-	roundNumber   uint64
-	roundPlan     []*plannedJob
-	roundCapacity roundCapacity
-	noCapacity    map[capacityQuery]bool // queries for which no machine that has the image has enough free capacity
+	lastQueue             []*Job
+	queueCount            uint64
+	classes               *model.Table[string, *classArrivals]
+	longWaitingGatherTime time.Duration // time that jobs which have waited for long take to gather capacity, as of the last queue
+	usableCPUs            float64       // last computed sum over the machines on which tasks may be started
+	roundNumber           uint64
+	roundPlan             []*plannedJob
+	roundCapacity         roundCapacity
+	noCapacity            map[capacityQuery]bool // queries for which no machine that has the image has enough free capacity
 
 	// Numbers of the sets of pools that jobs may run on. poolsGeneration counts the changes of owners, types and drains.
 	poolSets        map[string]int
--- a/internal/placement/deadline_boost.go
+++ b/internal/placement/deadline_boost.go
@@ -17,14 +17,14 @@
 }
 
 // deadlineFacts returns the facts on which a job's deadline boost depends.
-func (cs *ClusterState) deadlineFacts(job *Job) deadline.Facts {
-	facts := deadline.Facts{
-		Accepted:         job.Accepted,
-		TasksToStart:     cs.tasksToStart(job),
-		TaskCPUs:         job.Spec.Size.CPUs,
-		TaskRuntime:      job.Spec.Estimate,
-		CapacityCPUs:     cs.usableCPUs,
-		OthersGatherTime: cs.gatheringTime,
+func (cs *ClusterState) deadlineFacts(job *Job) deadline.JobFacts {
+	facts := deadline.JobFacts{
+		Accepted:              job.Accepted,
+		TasksToStart:          cs.tasksToStart(job),
+		TaskCPUs:              job.Spec.Size.CPUs,
+		TaskRuntime:           job.Spec.Estimate,
+		CapacityCPUs:          cs.usableCPUs,
+		LongWaitingGatherTime: cs.longWaitingGatherTime,
 	}
 	if limit := cs.wholeLimit(job).CPUs; limit > 0 && limit < facts.CapacityCPUs {
 		facts.CapacityCPUs = limit
@@ -47,14 +47,14 @@
 // changed later decisions, and a replay of the recording, which contains no queries, decided differently.
 func (cs *ClusterState) boostDeadlines(pending []*Job, now time.Time) {
 	rule, others := cs.deadlineRule(), time.Duration(0)
-	overloaded := cs.gatheringTime > rule.BeginWithin/4
+	overloaded := cs.longWaitingGatherTime > rule.BeginWithin/4
 	for _, job := range pending {
 		job.queueKey.boostedSince = time.Time{}
 		if now.Sub(job.Accepted) < rule.BeginWithin/4 || job.SuspectedPoison() {
 			continue // this holds for most jobs, and is cheap to check
 		}
 		facts := cs.deadlineFacts(job)
-		if rule.CountsAsOther(facts, now) {
+		if rule.IsLongWaiting(facts, now) {
 			// Guard: the share of its team's limit that a job uses doesn't measure what it takes from
 			// other jobs. When the limit was used in place of the cluster's capacity, limits of a tenth
 			// of the cluster made every day look overloaded.
@@ -75,7 +75,7 @@
 		}
 	}
 	if !cs.readOnly {
-		cs.gatheringTime = others
+		cs.longWaitingGatherTime = others
 	}
 }
 
--- a/internal/placement/deadline_boost_test.go
+++ b/internal/placement/deadline_boost_test.go
@@ -21,7 +21,7 @@
 		{"late", 250, "high", true},
 	} {
 		b := newBench(t)
-		b.opt.BeginWithin, b.usableCPUs, b.gatheringTime = 4*time.Minute, 4, 61*time.Second
+		b.opt.BeginWithin, b.usableCPUs, b.longWaitingGatherTime = 4*time.Minute, 4, 61*time.Second
 		b.job("low", func(j *model.Job) {
 			j.Priority, j.Tasks, j.Size, j.Estimate = model.Low, 2, model.Size{CPUs: 2, MemoryGB: 2}, time.Second
 		})
--- a/internal/placement/snapshot_export.go
+++ b/internal/placement/snapshot_export.go
@@ -24,7 +24,7 @@
 		Room:      cs.capacityEvents,
 		Rounds:    cs.roundNumber,
 		Capacity:  cs.usableCPUs,
-		Gathering: cs.gatheringTime,
+		Gathering: cs.longWaitingGatherTime,
 		Types:     cs.types,
 		Out:       map[string][][]byte{},
 		Gone:      cs.terminated,
--- a/internal/placement/snapshot_import.go
+++ b/internal/placement/snapshot_import.go
@@ -16,7 +16,7 @@
 	cs.complete, cs.splitParts, cs.maxPartsAccepted, cs.orderID = state.Complete, state.Split, state.FewParts, state.OrderID
 	cs.attempts, cs.writeCount, cs.capacityEvents, cs.inherited = state.Attempts, state.Saves, state.Room, state.Urgencies
 	cs.claimsResumed, cs.usageWatermark = state.Resumed, state.Mark
-	cs.roundNumber, cs.usableCPUs, cs.gatheringTime = state.Rounds, state.Capacity, state.Gathering
+	cs.roundNumber, cs.usableCPUs, cs.longWaitingGatherTime = state.Rounds, state.Capacity, state.Gathering
 	maps.Copy(cs.lastAnswer, state.Heard)
 	maps.Copy(cs.terminated, state.Gone)
 	if cs.ledger != nil {
