--- a/internal/placement/gang_claims.go
+++ b/internal/placement/gang_claims.go
@@ -52,7 +52,7 @@
 		if task.heldByClaim && task.machine.usable() {
 			task.heldByClaim, task.orderToken = false, cs.token
 			cs.order(task)
-			job.claim.Ordered()
+			job.claim.MembersOrdered()
 		}
 	}
 }
--- a/internal/reservation/claim.go
+++ b/internal/reservation/claim.go
@@ -62,8 +62,8 @@
 	return version == c.Version && c.setState(Claimed, Requested)
 }
 
-// Ordered records that the start of at least one member was ordered.
-func (c *Claim) Ordered() { c.setState(Starting, Claimed) }
+// MembersOrdered records that the start of at least one member was ordered.
+func (c *Claim) MembersOrdered() { c.setState(Starting, Claimed) }
 
 // MemberFailed records that a member is no longer bound to its machine.
 func (c *Claim) MemberFailed(member int) {
--- a/internal/reservation/claim_test.go
+++ b/internal/reservation/claim_test.go
@@ -22,9 +22,9 @@
 		{"new claim", func(*Claim) {}, Requested},
 		{"stored", func(c *Claim) { c.Stored(1) }, Claimed},
 		{"an older version is stored after a repair", func(c *Claim) { c.MemberFailed(0); c.Replace(0, "z"); c.Stored(1) }, Requested},
-		{"ordered", func(c *Claim) { c.Stored(1); c.Ordered() }, Starting},
-		{"members are ordered before the claim is stored", func(c *Claim) { c.Ordered() }, Requested},
-		{"a member fails", func(c *Claim) { c.Stored(1); c.Ordered(); c.MemberFailed(1) }, Repairing},
+		{"ordered", func(c *Claim) { c.Stored(1); c.MembersOrdered() }, Starting},
+		{"members are ordered before the claim is stored", func(c *Claim) { c.MembersOrdered() }, Requested},
+		{"a member fails", func(c *Claim) { c.Stored(1); c.MembersOrdered(); c.MemberFailed(1) }, Repairing},
 		{"one of two failed members is replaced", func(c *Claim) { c.MemberFailed(0); c.MemberFailed(1); c.Replace(1, "z") }, Repairing},
 		{"both failed members are replaced, so the claim must be stored again", func(c *Claim) {
 			c.Stored(1)
@@ -34,7 +34,7 @@
 			c.Replace(0, "y")
 		}, Requested},
 		{"the repaired version is stored", func(c *Claim) { c.MemberFailed(0); c.Replace(0, "y"); c.Stored(2) }, Claimed},
-		{"all members run", func(c *Claim) { c.Stored(1); c.Ordered(); c.MembersRunning() }, Running},
+		{"all members run", func(c *Claim) { c.Stored(1); c.MembersOrdered(); c.MembersRunning() }, Running},
 		{"a member fails after all members ran", func(c *Claim) { c.MembersRunning(); c.MemberFailed(0) }, Running},
 		{"events after the claim was released", func(c *Claim) { c.Stored(1); c.Release(); c.Stored(1); c.MemberFailed(0) }, Released},
 	} {
