--- a/internal/dag/graph_test.go
+++ b/internal/dag/graph_test.go
@@ -244,7 +244,7 @@
 		t.Errorf("after a job with an overrun and one without: %s", got)
 	}
 	// A second dependent of x has a higher priority and an earlier deadline.
-	g.put("e", "x", func(j *model.Job) { j.Priority, j.Deadline = model.Production, 30*time.Second })
+	g.put("e", "x", func(j *model.Job) { j.Priority, j.Deadline = model.Critical, 30*time.Second })
 	if got := inherited(g, "x"); got != "3 20s" {
 		t.Errorf("with a more urgent dependent: %s", got)
 	}
--- a/internal/model/model.go
+++ b/internal/model/model.go
@@ -90,8 +90,8 @@
 	Zones       []string
 }
 
-// In reports whether the type is offered in a zone.
-func (t MachineType) In(zone string) bool {
+// OfferedIn reports whether the type is offered in a zone.
+func (t MachineType) OfferedIn(zone string) bool {
 	for _, z := range t.Zones {
 		if z == zone {
 			return true
@@ -115,16 +115,16 @@
 
 // The priorities, highest first.
 const (
-	Production Priority = "critical"
-	High       Priority = "high"
-	Normal     Priority = "normal"
-	Low        Priority = "low"
+	Critical Priority = "critical"
+	High     Priority = "high"
+	Normal   Priority = "normal"
+	Low      Priority = "low"
 )
 
 // Rank returns a number that is larger for a higher priority, or -1 for an unknown one.
 func (p Priority) Rank() int {
 	switch p {
-	case Production:
+	case Critical:
 		return 3
 	case High:
 		return 2
@@ -156,12 +156,12 @@
 
 // The task states.
 const (
-	TaskOrdered  TaskState = "ordered"
-	TaskFetching TaskState = "fetching"
-	TaskWaiting  TaskState = "gathering" // for the other tasks of its gang
-	TaskRunning  TaskState = "running"
-	TaskSaving   TaskState = "flushing"
-	TaskExited   TaskState = "ended"
+	TaskOrdered        TaskState = "ordered"
+	TaskFetching       TaskState = "fetching"
+	TaskWaitingForGang TaskState = "gathering" // for the other tasks of its gang
+	TaskRunning        TaskState = "running"
+	TaskSaving         TaskState = "flushing"
+	TaskExited         TaskState = "ended"
 )
 
 // Cause is the reason why a task exited.
@@ -238,7 +238,7 @@
 	if j.Zone != "" && j.Zone != zone {
 		return false
 	}
-	if !t.In(zone) || !j.Size.Fits(t.Size) {
+	if !t.OfferedIn(zone) || !j.Size.Fits(t.Size) {
 		return false
 	}
 	if j.Types == nil {
--- a/internal/placement/blockers_test.go
+++ b/internal/placement/blockers_test.go
@@ -10,7 +10,7 @@
 // be preempted come first.
 func TestBlockersListsTasksThatHoldCapacity(t *testing.T) {
 	b := newBench(t)
-	for id, p := range map[string]model.Priority{"low": model.Low, "same": model.High, "above": model.Production} {
+	for id, p := range map[string]model.Priority{"low": model.Low, "same": model.High, "above": model.Critical} {
 		b.job(id, func(j *model.Job) { j.Priority, j.Size.CPUs = p, 4 })
 		b.machine("m-"+id, "small", "a", task(id, 0, 1, model.TaskRunning, ""))
 	}
--- a/internal/placement/drain_test.go
+++ b/internal/placement/drain_test.go
@@ -87,7 +87,7 @@
 		{"a gang that an earlier leader stopped goes on checkpointing", gangOfFour,
 			model.TaskSaving, nodeDrain("old", 1), 2, 8, nil},
 		{"a gang whose members wait for each other is stopped as a whole at once", gangOfFour,
-			model.TaskWaiting, nodeDrain("old", 0), 2, 0, map[string]float64{"x/0": 0, "x/1": 0, "x/2": 0, "x/3": 0}},
+			model.TaskWaitingForGang, nodeDrain("old", 0), 2, 0, map[string]float64{"x/0": 0, "x/1": 0, "x/2": 0, "x/3": 0}},
 		{"a drain of a machine type", func(j *model.Job) { j.Tasks = 4 },
 			model.TaskFetching, &Drain{Scope: TypeScope, Name: "small"}, 2, 0, map[string]float64{"x/0": 0, "x/1": 0}},
 	} {
--- a/internal/placement/gang_claims_test.go
+++ b/internal/placement/gang_claims_test.go
@@ -85,7 +85,7 @@
 	b, write := gangBench(t)
 	first, second, attempt := b.machineOf("g", 0), b.machineOf("g", 1), b.jobs.At("g").attempt
 	spare := map[string]string{"m0m1": "m2", "m1m0": "m2", "m0m2": "m1", "m2m0": "m1", "m1m2": "m0", "m2m1": "m0"}[first+second]
-	waiting := map[string]*peerspb.Task{first: task("g", 0, attempt, model.TaskWaiting, "")}
+	waiting := map[string]*peerspb.Task{first: task("g", 0, attempt, model.TaskWaitingForGang, "")}
 	for _, c := range []struct {
 		name    string
 		running map[string]*peerspb.Task // by machine
@@ -98,7 +98,7 @@
 		{"one member waits", waiting, []string{first, second, spare}, 0, second, 0},
 		{"the other member's machine is terminated", waiting, []string{first, spare}, 1, spare, 0},
 		{"the other member finds no machine in time", waiting, []string{first}, 25, "", 1},
-		{"a machine reports a later attempt", map[string]*peerspb.Task{first: task("g", 0, 999, model.TaskWaiting, "")}, []string{first, second}, 1, "", 1},
+		{"a machine reports a later attempt", map[string]*peerspb.Task{first: task("g", 0, 999, model.TaskWaitingForGang, "")}, []string{first, second}, 1, "", 1},
 		{"a member gave up waiting", map[string]*peerspb.Task{first: task("g", 0, attempt, model.TaskExited, model.CauseIsolated)}, []string{first, second}, 1, "", 0},
 	} {
 		n := b.nextLeader(t, write, c.running, c.up...)
--- a/internal/placement/queue_test.go
+++ b/internal/placement/queue_test.go
@@ -72,7 +72,7 @@
 	b.job("soon", func(j *model.Job) { j.Deadline = time.Minute })
 	b.job("lost", func(j *model.Job) { j.Deadline, j.Estimate, j.Team, j.Tasks = time.Minute, time.Hour, "tight", 9 })
 	b.job("sure", func(j *model.Job) { j.Team = "sure" })
-	b.job("first", func(j *model.Job) { j.Priority = model.Production })
+	b.job("first", func(j *model.Job) { j.Priority = model.Critical })
 	b.job("long", func(j *model.Job) { j.Team, j.Estimate, j.Tasks = "tight", time.Minute, 9 })
 	b.job("short", func(j *model.Job) { j.Team, j.Estimate = "tight", time.Minute })
 	var got []string
--- a/internal/placement/round_test.go
+++ b/internal/placement/round_test.go
@@ -57,7 +57,7 @@
 func TestCapacityOfExpiredReservationIsUsed(t *testing.T) {
 	for _, p := range []model.Priority{model.Low, model.High} {
 		b := newBench(t)
-		b.job("other", func(j *model.Job) { j.Tasks, j.Zone, j.Priority = 9, "b", model.Production })
+		b.job("other", func(j *model.Job) { j.Tasks, j.Zone, j.Priority = 9, "b", model.Critical })
 		b.job("x", func(j *model.Job) { j.Class, j.Zone, j.Priority = "c", "a", p })
 		b.machine("m", "small", "a")
 		b.complete = true
--- a/internal/placement/usage.go
+++ b/internal/placement/usage.go
@@ -78,7 +78,7 @@
 	switch task.state {
 	case model.TaskRunning, model.TaskSaving:
 		cs.addUsage(task, accounting.Run, until.Sub(from), until)
-	case model.TaskFetching, model.TaskWaiting:
+	case model.TaskFetching, model.TaskWaitingForGang:
 		cs.addUsage(task, accounting.Wait, until.Sub(from), until)
 	}
 }
--- a/internal/replay/machine.go
+++ b/internal/replay/machine.go
@@ -334,7 +334,7 @@
 		t.run()
 		return
 	}
-	t.to(model.TaskWaiting)
+	t.to(model.TaskWaitingForGang)
 	gang := append(j.running[t.number], t)
 	j.running[t.number] = gang
 	if len(gang) == j.spec.Tasks {
--- a/internal/scale/load.go
+++ b/internal/scale/load.go
@@ -136,7 +136,7 @@
 	case "short":
 		s.tasks, s.estimate = shortTasks/2+u.rand.IntN(shortTasks), shortRuns
 	case "urgent":
-		s.rank, s.estimate = model.Production, urgentRuns
+		s.rank, s.estimate = model.Critical, urgentRuns
 	case "gang":
 		s.shape, s.rank, s.tasks, s.cpus, s.estimate = model.Gang, model.High, gangSizes[u.next%len(gangSizes)], 1, gangRuns
 	case "service":
--- a/internal/settings/changes.go
+++ b/internal/settings/changes.go
@@ -205,7 +205,7 @@
 	}
 	pool := model.Pool{Type: names[0], Zone: names[1]}
 	machineType, ok := types[pool.Type]
-	if !ok || !machineType.In(pool.Zone) {
+	if !ok || !machineType.OfferedIn(pool.Zone) {
 		return Capacity{}, fieldErrorf("capacity", "there is no type %q in zone %q", pool.Type, pool.Zone)
 	}
 	ordinary, spot := -1.0, -1.0
--- a/internal/simtest/checkpoints.go
+++ b/internal/simtest/checkpoints.go
@@ -22,7 +22,7 @@
 	p.Guarantee = true
 	for i := range p.Jobs {
 		j := &p.Jobs[i]
-		j.Priority = rapid.SampledFrom([]model.Priority{model.Low, model.Normal, model.High, model.Production}).Draw(t, "priority")
+		j.Priority = rapid.SampledFrom([]model.Priority{model.Low, model.Normal, model.High, model.Critical}).Draw(t, "priority")
 		if j.Team == 0 && rapid.IntRange(0, 2).Draw(t, "guaranteed") == 2 {
 			j.Team = 2
 		}
--- a/internal/simtest/checkpoints_test.go
+++ b/internal/simtest/checkpoints_test.go
@@ -29,7 +29,7 @@
 		})
 	}
 	again := func(c at, i int) { // under the same attempt
-		c.t[i] = &copyOf{job: c.t[i].job, index: i, attempt: 1, state: model.TaskWaiting, on: true}
+		c.t[i] = &copyOf{job: c.t[i].job, index: i, attempt: 1, state: model.TaskWaitingForGang, on: true}
 		c.m[i].tasks = []*copyOf{c.t[i]}
 		c.w.began(c.m[i], c.t[i])
 		c.m[i].run(c.t[i])
@@ -93,7 +93,7 @@
 		for i := range 2 {
 			m := newWorker(w, string(rune('1'+i)), model.Pool{Type: wireType.Name, Zone: "a"}, false)
 			m.newSession()
-			task := &copyOf{job: j, index: i, attempt: 1, state: model.TaskWaiting, on: true}
+			task := &copyOf{job: j, index: i, attempt: 1, state: model.TaskWaitingForGang, on: true}
 			m.tasks = []*copyOf{task}
 			w.cloud.machines = append(w.cloud.machines, m)
 			w.began(m, task)
--- a/internal/simtest/machines.go
+++ b/internal/simtest/machines.go
@@ -482,7 +482,7 @@
 		return
 	}
 	w := m.cluster
-	t.state, t.on = model.TaskWaiting, true
+	t.state, t.on = model.TaskWaitingForGang, true
 	w.began(m, t)
 	if t.job.finished[t.index] {
 		m.exit(t, model.CauseDone)
@@ -501,7 +501,7 @@
 	}
 	w.sim.After(gangWait, func() {
 		m.enter(func() {
-			if m.has(t) && t.state == model.TaskWaiting {
+			if m.has(t) && t.state == model.TaskWaitingForGang {
 				if m.cluster.plan.calm() {
 					m.cluster.sim.breaks("half_gang", "%s waits alone for %v, though nothing but controllers failed", model.TaskName(t.job.id, t.index), gangWait)
 				}
--- a/internal/standin/machine.go
+++ b/internal/standin/machine.go
@@ -158,7 +158,7 @@
 		switch t.state {
 		case model.TaskFetching:
 			m.fetched(t, now)
-		case model.TaskWaiting:
+		case model.TaskWaitingForGang:
 			t.exit(model.CauseIsolated, false)
 		case model.TaskRunning:
 			if t.doomed {
@@ -195,7 +195,7 @@
 	image := t.job.Image
 	m.images = append(slices.DeleteFunc(m.images, func(i string) bool { return i == image }), image)
 	if m.cloud.finished[t.name] {
-		t.to(model.TaskWaiting, time.Time{})
+		t.to(model.TaskWaitingForGang, time.Time{})
 		t.exit(model.CauseDone, false)
 		return
 	}
@@ -203,7 +203,7 @@
 		t.run(now)
 		return
 	}
-	t.to(model.TaskWaiting, now.Add(gangWait))
+	t.to(model.TaskWaitingForGang, now.Add(gangWait))
 	gang := m.cloud.gang(t)
 	if len(gang) == t.job.Tasks {
 		for _, o := range gang {
--- a/internal/workers/heartbeat.go
+++ b/internal/workers/heartbeat.go
@@ -69,7 +69,7 @@
 			return &HeartbeatError{Field: "pieces", Problem: "not a task: " + task.Task}
 		}
 		switch task.State {
-		case model.TaskFetching, model.TaskWaiting, model.TaskRunning, model.TaskSaving, model.TaskExited:
+		case model.TaskFetching, model.TaskWaitingForGang, model.TaskRunning, model.TaskSaving, model.TaskExited:
 		default:
 			return &HeartbeatError{Field: "pieces", Problem: "unknown stage"}
 		}
