--- a/cmd/marlwood/main.go
+++ b/cmd/marlwood/main.go
@@ -125,7 +125,7 @@
 
 // Run prints the version.
 func (versionCmd) Run() error {
-	fmt.Println("marlwood " + scheduler.Program)
+	fmt.Println("marlwood " + scheduler.ProgramVersion)
 	return nil
 }
 
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -39,7 +39,7 @@
 	}
 	t.ctrl.post(func() {
 		if t.ctx.Err() == nil {
-			t.scheduler.JobEnded(t.ctrl.env.Now(), id, err == nil, final.Stage)
+			t.scheduler.DependencyOutcomeRead(t.ctrl.env.Now(), id, err == nil, final.Stage)
 		}
 	})
 }
@@ -60,7 +60,7 @@
 		if t.ctx.Err() != nil {
 			return
 		}
-		t.scheduler.JobMoved(t.ctrl.env.Now(), action, ok, revision, gone)
+		t.scheduler.DependencyActionDone(t.ctrl.env.Now(), action, ok, revision, gone)
 		if gone {
 			t.nextCheck = time.Time{}
 		}
--- a/internal/controller/drain_requests.go
+++ b/internal/controller/drain_requests.go
@@ -293,7 +293,7 @@
 		pending.reply(nil, status.Errorf(codes.Aborted, "somebody else has undrained %s just now: look at marlwood drains", pending.target))
 		return true
 	}
-	starts, machines := t.scheduler.Undecided(pending.target)
+	starts, machines := t.scheduler.UnresolvedStarts(pending.target)
 	if starts+machines > 0 && now.Before(pending.deadline) {
 		return false
 	}
--- a/internal/controller/job_watch.go
+++ b/internal/controller/job_watch.go
@@ -59,7 +59,7 @@
 
 // resyncJobs has the scheduler apply a whole list of jobs after changes were missed.
 func (t *leaderTerm) resyncJobs(jobs []store.Item) {
-	t.scheduler.Resync(t.ctrl.env.Now(), jobs)
+	t.scheduler.ReplaceJobs(t.ctrl.env.Now(), jobs)
 	t.partRevisions.retain(t.isOpen)
 	t.nextCheck = time.Time{}
 	t.startRoundSoon()
@@ -78,7 +78,7 @@
 		}
 		delete(t.partRevisions, job)
 	}
-	t.scheduler.Change(t.ctrl.env.Now(), events)
+	t.scheduler.ApplyJobChanges(t.ctrl.env.Now(), events)
 	t.nextCheck = time.Time{}
 	t.startRoundSoon()
 }
--- a/internal/controller/leader_term.go
+++ b/internal/controller/leader_term.go
@@ -132,7 +132,7 @@
 
 // expireMachines has the scheduler give up machines whose leases have expired.
 func (t *leaderTerm) expireMachines(now time.Time) {
-	if names := t.scheduler.Expire(now, t.ctrl.elector.LastCheck()); len(names) > 0 {
+	if names := t.scheduler.ConfirmExpiries(now, t.ctrl.elector.LastCheck()); len(names) > 0 {
 		t.ctrl.log.Info("machines expired", "count", len(names), "machines", names)
 	}
 }
--- a/internal/controller/links_test.go
+++ b/internal/controller/links_test.go
@@ -62,7 +62,7 @@
 	term.scheduler.Place(now, nil)
 	v, _ := json.Marshal(placement.Record{Job: &model.Job{ID: "j", Team: "t", Shape: model.Array, Priority: model.Normal, Tasks: 1,
 		Size: model.Size{CPUs: 2, MemoryGB: 2}, Image: "i"}})
-	term.scheduler.Change(now, []store.Event{{Set: placement.JobPrefix + "j", Value: v, Revision: 10}})
+	term.scheduler.ApplyJobChanges(now, []store.Event{{Set: placement.JobPrefix + "j", Value: v, Revision: 10}})
 	for _, w := range term.scheduler.RequestSamples(now) {
 		term.scheduler.Place(now, []*peerspb.Sample{{Want: w.Id, Kind: w.Kinds[0], Machines: []string{"m1", "m1"}}})
 	}
@@ -104,7 +104,7 @@
 				err = errors.New("no answer")
 			}
 			term.handleRoundResponse(peer, 7, time.Now(), resp, err)
-			term.scheduler.Expire(time.Now(), time.Now().Add(time.Second))
+			term.scheduler.ConfirmExpiries(time.Now(), time.Now().Add(time.Second))
 			if term.scheduler.Jobs().At("j").Bound() != 1 {
 				t.Fatalf("%s: a start that may come late counts as decided", c.name)
 			}
--- a/internal/controller/machine_records.go
+++ b/internal/controller/machine_records.go
@@ -42,7 +42,7 @@
 // those that turn out to have one.
 func (t *leaderTerm) registerMachines(now time.Time) {
 	recorded := map[uint64][]string{} // by the record's revision
-	for name, machine := range t.scheduler.UnsettledMachines() {
+	for name, machine := range t.scheduler.UnreconciledMachines() {
 		if machine.Phase != placement.Current || machine.Recorded {
 			continue
 		}
--- a/internal/controller/ownership.go
+++ b/internal/controller/ownership.go
@@ -201,7 +201,7 @@
 // lateStart names a machine on which a start that is no longer wanted may still be executed;
 // empty: there is none. A fresh token voids the start.
 func (t *leaderTerm) lateStart() string {
-	for _, machine := range t.scheduler.UnsettledMachines() {
+	for _, machine := range t.scheduler.UnreconciledMachines() {
 		if machine.StartOutcomeUnknown {
 			return "unwanted start may come late: " + machine.Name
 		}
--- a/internal/controller/queries.go
+++ b/internal/controller/queries.go
@@ -25,7 +25,7 @@
 
 // handleNodes answers with a page of the machines.
 func (t *leaderTerm) handleNodes(now time.Time, request *operatorspb.NodesRequest, reply operatorReply) {
-	rows, more := t.scheduler.NodeRows(now, request.After)
+	rows, more := t.scheduler.MachineRows(now, request.After)
 	reply(&operatorspb.Reply{What: &operatorspb.Reply_Nodes{Nodes: &operatorspb.NodesResponse{Rows: rows, More: more}}}, nil)
 }
 
--- a/internal/controller/rounds.go
+++ b/internal/controller/rounds.go
@@ -329,7 +329,7 @@
 		t.ctrl.log.Debug("machine", "machine", machine.Name, "phase", machine.Phase, "owner", peer.member,
 			"session", machine.Session, "seq", machine.Seq, "tasks", len(machine.Tasks))
 	}
-	t.scheduler.Answer(now, peer.member, response, trusted, t.allSupport(peers.ShardedBitmaps))
+	t.scheduler.ApplySamplingResponse(now, peer.member, response, trusted, t.allSupport(peers.ShardedBitmaps))
 	if len(response.Machines) > 0 {
 		t.startRoundSoon()
 	}
--- a/internal/controller/sizes_test.go
+++ b/internal/controller/sizes_test.go
@@ -44,12 +44,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		term.scheduler.Change(now, []store.Event{{Set: placement.JobPrefix + id, Value: v, Revision: uint64(20 + 2*i)}})
+		term.scheduler.ApplyJobChanges(now, []store.Event{{Set: placement.JobPrefix + id, Value: v, Revision: uint64(20 + 2*i)}})
 		send(i%3 == 0, &peerspb.Order{Job: id})
 		if !owner[id] || !owner["j"] {
 			t.Fatalf("after %d jobs the owner knows %v", i, owner)
 		}
-		term.scheduler.Change(now, []store.Event{{Delete: placement.JobPrefix + id, Revision: uint64(21 + 2*i)}})
+		term.scheduler.ApplyJobChanges(now, []store.Event{{Delete: placement.JobPrefix + id, Revision: uint64(21 + 2*i)}})
 		send(i%3 == 1)
 	}
 	send(false)
--- a/internal/replay/verify.go
+++ b/internal/replay/verify.go
@@ -115,7 +115,7 @@
 		if p.core, err = scheduler.Import(s, slog.New(slog.DiscardHandler)); err != nil {
 			return err
 		}
-		p.core.Chain(hash)
+		p.core.SetHash(hash)
 	}
 	return nil
 }
--- a/internal/scheduler/events.go
+++ b/internal/scheduler/events.go
@@ -112,17 +112,17 @@
 	})
 }
 
-// Resync replaces the jobs by a complete list of their records, after changes were
+// ReplaceJobs replaces the jobs by a complete list of their records, after changes were
 // missed. A job that is not in the list is treated as cancelled.
-func (s *Scheduler) Resync(now time.Time, jobs []store.Item) {
+func (s *Scheduler) ReplaceJobs(now time.Time, jobs []store.Item) {
 	s.submit(&recordpb.Event{
 		AtNs: s.eventOffset(now),
 		What: &recordpb.Event_Changed{Changed: &recordpb.Changed{Items: storedItems(jobs), Whole: true}},
 	})
 }
 
-// Change applies changes of job records in the given order.
-func (s *Scheduler) Change(now time.Time, changes []store.Event) {
+// ApplyJobChanges applies changes of job records in the given order.
+func (s *Scheduler) ApplyJobChanges(now time.Time, changes []store.Event) {
 	items := make([]*recordpb.Item, 0, len(changes))
 	for _, change := range changes {
 		if change.Delete != "" {
@@ -137,27 +137,28 @@
 	})
 }
 
-// Answer applies a pool owner's answer to a sampling round. If trusted is set, a lease
-// expiry counts even for a machine that was not yet current under the fencing token. split
-// reports whether every controller can read completion bitmaps that are stored in shards.
-func (s *Scheduler) Answer(now time.Time, member string, response *peerspb.RoundResponse, trusted, split bool) {
+// ApplySamplingResponse applies a pool owner's answer to a sampling round. If trustExpiry is
+// set, a lease expiry counts even for a machine that was not yet current under the fencing
+// token. shardedBitmaps reports whether every controller can read completion bitmaps that are
+// stored in shards.
+func (s *Scheduler) ApplySamplingResponse(now time.Time, member string, response *peerspb.RoundResponse, trustExpiry, shardedBitmaps bool) {
 	s.submit(&recordpb.Event{
 		AtNs: s.eventOffset(now),
 		What: &recordpb.Event_Answer{Answer: &recordpb.Answer{
 			Member:   member,
 			Applied:  response.Applied,
-			Trusted:  trusted,
-			Split:    split,
+			Trusted:  trustExpiry,
+			Split:    shardedBitmaps,
 			Machines: response.Machines,
 			Knocks:   response.Knocks,
 		}},
 	})
 }
 
-// Expire confirms the lease expiries that were reported before checked, and returns the
+// ConfirmExpiries confirms the lease expiries that were reported before checked, and returns the
 // names of the machines. checked is the time of the last check that this controller is
 // still the leader.
-func (s *Scheduler) Expire(now, checked time.Time) []string {
+func (s *Scheduler) ConfirmExpiries(now, checked time.Time) []string {
 	return s.submit(&recordpb.Event{
 		AtNs: s.eventOffset(now),
 		What: &recordpb.Event_Expire{Expire: &recordpb.Expire{CheckedNs: s.eventOffset(checked)}},
@@ -303,19 +304,19 @@
 	}).dependencyActions
 }
 
-// JobEnded reports the stage that was read for a dependency. If ok is false, the stage
-// could not be read.
-func (s *Scheduler) JobEnded(now time.Time, id string, ok bool, stage model.Stage) {
+// DependencyOutcomeRead reports the stage that was read for a dependency. If ok is false, the
+// stage could not be read.
+func (s *Scheduler) DependencyOutcomeRead(now time.Time, id string, ok bool, stage model.Stage) {
 	s.submit(&recordpb.Event{
 		AtNs: s.eventOffset(now),
 		What: &recordpb.Event_Ended{Ended: &recordpb.Ended{Job: id, Ok: ok, Stage: string(stage)}},
 	})
 }
 
-// JobMoved reports the outcome of a release or a cancellation of a waiting job. revision is
-// the current revision of the waiting record, or 0 if it is unknown; gone reports whether
-// the waiting record no longer exists.
-func (s *Scheduler) JobMoved(now time.Time, action dag.Action, ok bool, revision uint64, gone bool) {
+// DependencyActionDone reports the outcome of a release or a cancellation of a waiting job.
+// revision is the current revision of the waiting record, or 0 if it is unknown; gone reports
+// whether the waiting record no longer exists.
+func (s *Scheduler) DependencyActionDone(now time.Time, action dag.Action, ok bool, revision uint64, gone bool) {
 	s.submit(&recordpb.Event{
 		AtNs: s.eventOffset(now),
 		What: &recordpb.Event_Moved{Moved: &recordpb.Moved{
--- a/internal/scheduler/operators.go
+++ b/internal/scheduler/operators.go
@@ -59,9 +59,9 @@
 	return row
 }
 
-// NodeRows returns a page of the machines whose names are greater than after, and reports
+// MachineRows returns a page of the machines whose names are greater than after, and reports
 // whether there are more.
-func (s *Scheduler) NodeRows(now time.Time, after string) ([]*operatorspb.Node, bool) {
+func (s *Scheduler) MachineRows(now time.Time, after string) ([]*operatorspb.Node, bool) {
 	return s.cluster.MachineRows(after, s.schedulerTime(now))
 }
 
@@ -102,7 +102,7 @@
 		Cpus:     counts.CPUs,
 		UsedCpus: counts.Used,
 		LeadingS: s.sinceStart(now).Seconds(),
-		Version:  Program,
+		Version:  ProgramVersion,
 	}
 }
 
--- a/internal/scheduler/queries.go
+++ b/internal/scheduler/queries.go
@@ -25,10 +25,10 @@
 // Machines returns the machines by name. The caller must not change them.
 func (s *Scheduler) Machines() *model.Table[string, *placement.Machine] { return s.cluster.Machines() }
 
-// UnsettledMachines returns the machines that are not reconciled: all except those that are
+// UnreconciledMachines returns the machines that are not reconciled: all except those that are
 // current under the fencing token, have a stored record, send heartbeats in time, and run no
 // unknown or unwanted tasks. See placement.ClusterState.UnreconciledMachines.
-func (s *Scheduler) UnsettledMachines() map[string]*placement.Machine {
+func (s *Scheduler) UnreconciledMachines() map[string]*placement.Machine {
 	return s.cluster.UnreconciledMachines()
 }
 
@@ -69,10 +69,10 @@
 	return s.cluster.UnreachablePools(s.schedulerTime(now), late)
 }
 
-// Undecided counts what may still bring a task to the machines of a drain: starts that were
+// UnresolvedStarts counts what may still bring a task to the machines of a drain: starts that were
 // ordered before the drain and whose outcome is unknown, and machines that have not answered
 // under the current fencing token.
-func (s *Scheduler) Undecided(target string) (starts, machines int) {
+func (s *Scheduler) UnresolvedStarts(target string) (starts, machines int) {
 	return s.cluster.Undecided(target)
 }
 
--- a/internal/scheduler/recording.go
+++ b/internal/scheduler/recording.go
@@ -32,9 +32,9 @@
 // Hash returns the hash chained over the decisions since the last recorded state.
 func (s *Scheduler) Hash() uint64 { return s.decisionHash }
 
-// Chain sets the hash that the next decisions are chained to. It is used after a state
+// SetHash sets the hash that the next decisions are chained to. It is used after a state
 // was imported from the middle of a recording.
-func (s *Scheduler) Chain(hash uint64) { s.decisionHash = hash }
+func (s *Scheduler) SetHash(hash uint64) { s.decisionHash = hash }
 
 // extendHash returns the hash of decisions, seeded with the previous hash of the chain.
 func extendHash(hash uint64, decisions *recordpb.Decided) uint64 {
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -33,9 +33,9 @@
 // A controller that becomes leader creates a Scheduler with New, passes it the stored
 // records with Load, and from then on calls it for every event until its term ends. It
 // carries out the decisions that RequestSamples, Place, DueWrites, Plan, ResolveDependencies and
-// ReconcileList return, and reports back with Answer, WriteDone, RequestRecorded,
-// LaunchDone, TerminateDone and JobMoved. Orders are not returned by an event:
-// Orders returns them until the machine's owner acknowledges them.
+// ReconcileList return, and reports back with ApplySamplingResponse, WriteDone,
+// RequestRecorded, LaunchDone, TerminateDone and DependencyActionDone. Orders are not
+// returned by an event: Orders returns them until the machine's owner acknowledges them.
 //
 // Queries do not change the state. They submit no events and are not recorded.
 package scheduler
@@ -56,8 +56,8 @@
 	"github.com/marlwood/marlwood/internal/settings"
 )
 
-// Program is the version of marlwood.
-const Program = "0.5.0"
+// ProgramVersion is the version of marlwood.
+const ProgramVersion = "0.5.0"
 
 // Config holds the settings that a scheduler decides by. It is stored in recordings
 // under the Go names of its fields.
@@ -186,7 +186,7 @@
 	// writes are the job records to write (DueWrites).
 	writes []*placement.JobWrite
 
-	// expired names the machines whose lease expiry was confirmed (Expire).
+	// expired names the machines whose lease expiry was confirmed (ConfirmExpiries).
 	expired []string
 
 	// recordRevisions maps each machine whose record is to be deleted to the record's
--- a/internal/scheduler/snapshot.go
+++ b/internal/scheduler/snapshot.go
@@ -17,15 +17,15 @@
 	"github.com/marlwood/marlwood/internal/record/recordpb"
 )
 
-// Version is the version of the encoding of states and events. A program imports its own
+// StateVersion is the version of the encoding of states and events. A program imports its own
 // version only, because it cannot reproduce the decisions of other code.
-const Version = 1
+const StateVersion = 1
 
 // ErrVersion is returned for a state in another version of the encoding.
 var ErrVersion = errors.New("unsupported state version")
 
 func versionError(version uint32) error {
-	return fmt.Errorf("%w %d: this program reads version %d; use the version that recorded it", ErrVersion, version, Version)
+	return fmt.Errorf("%w %d: this program reads version %d; use the version that recorded it", ErrVersion, version, StateVersion)
 }
 
 var errIncompleteState = errors.New("state: cluster, graph or autoscaler state is missing")
@@ -78,11 +78,11 @@
 		return nil, fmt.Errorf("state: %w", err)
 	}
 	return &recordpb.State{
-		Version:      Version,
+		Version:      StateVersion,
 		Member:       s.identity.Member,
 		Boot:         s.identity.Boot,
 		Token:        s.identity.Token,
-		Program:      Program,
+		Program:      ProgramVersion,
 		AtNs:         atNs,
 		OriginUnixNs: s.origin.UnixNano(),
 		Core:         encoded,
@@ -112,7 +112,7 @@
 // Import returns a scheduler that makes the same decisions as the one whose state was
 // exported. It records nothing; the caller passes events to Decide.
 func Import(state *recordpb.State, log *slog.Logger) (*Scheduler, error) {
-	if state.Version != Version {
+	if state.Version != StateVersion {
 		return nil, versionError(state.Version)
 	}
 	s := &Scheduler{
