--- a/internal/api/answers_test.go
+++ b/internal/api/answers_test.go
@@ -213,7 +213,7 @@
 		Preconditions: []store.Precondition{{Key: "job/" + id, Revision: item.Revision}},
 		Writes: []store.Write{
 			store.Delete("job/" + id),
-			store.Put("done/"+id, placement.Final{Stage: model.Done, Tasks: 3, Count: 3}),
+			store.Put("done/"+id, placement.FinalJobRecord{Stage: model.Done, Tasks: 3, Count: 3}),
 		},
 	})
 	return err == nil && result.Succeeded()
@@ -422,7 +422,7 @@
 	final := func(stage model.Stage, count int) func(fake *fakeStore) {
 		return func(fake *fakeStore) {
 			fake.change(store.Delete("job/req-1"))
-			fake.change(store.Put("done/req-1", placement.Final{Stage: stage, Tasks: 3, Count: count}))
+			fake.change(store.Put("done/req-1", placement.FinalJobRecord{Stage: stage, Tasks: 3, Count: count}))
 		}
 	}
 	for _, c := range []struct {
@@ -435,7 +435,7 @@
 		{"running, not stored yet", func(*fakeStore) {}, &placement.JobCounts{Done: 1, Running: 2}, `"queued","done":1,"running":2`},
 		{"all done, not stored yet", func(*fakeStore) {}, &placement.JobCounts{Done: 3}, `"queued","done":3,"running":0`},
 		{"running elsewhere", func(fake *fakeStore) {
-			fake.change(store.Put("job/req-1", placement.Record{Job: &model.Job{ID: "req-1", Shape: model.Array, Priority: model.Low, Tasks: 3, Image: "i"},
+			fake.change(store.Put("job/req-1", placement.JobRecord{Job: &model.Job{ID: "req-1", Shape: model.Array, Priority: model.Low, Tasks: 3, Image: "i"},
 				Started: true, Count: 1, Running: 2}))
 		}, nil, `"running","done":1,"running":2`},
 		{"done, remembered as running", final(model.Done, 3), &placement.JobCounts{Done: 1, Running: 2}, `"done","done":3,"running":0`},
--- a/internal/api/dependencies.go
+++ b/internal/api/dependencies.go
@@ -19,9 +19,9 @@
 		return store.Write{}, "", err
 	}
 	if stage == model.Cancelled {
-		return store.Put(placement.DonePrefix+job.ID, placement.Final{Stage: stage, Tasks: job.Tasks}), stage, nil
+		return store.Put(placement.DonePrefix+job.ID, placement.FinalJobRecord{Stage: stage, Tasks: job.Tasks}), stage, nil
 	}
-	record := placement.Record{Job: job, AcceptedMS: s.options.Now().UnixMilli()}
+	record := placement.JobRecord{Job: job, AcceptedMS: s.options.Now().UnixMilli()}
 	job.Needs = nil
 	open := store.Put(placement.JobPrefix+job.ID, record)
 	if len(open.Value) > s.options.RecordBytes {
--- a/internal/api/dependencies_test.go
+++ b/internal/api/dependencies_test.go
@@ -25,7 +25,7 @@
 func releaseJob(t *testing.T, fake *fakeStore) {
 	t.Helper()
 	const id = "req-2"
-	var r placement.Record
+	var r placement.JobRecord
 	if err := json.Unmarshal(fake.keys["job-waiting/"+id].Value, &r); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/api/job_status.go
+++ b/internal/api/job_status.go
@@ -22,12 +22,12 @@
 	needs    []string // its dependencies, while it waits for them
 	revision uint64   // of the open or waiting record, 0 in a final stage
 	stage    model.Stage
-	record   placement.Record
-	final    placement.Final
+	record   placement.JobRecord
+	final    placement.FinalJobRecord
 }
 
 // finalStatus is the status of a job in a final stage.
-func finalStatus(final placement.Final) jobStatus {
+func finalStatus(final placement.FinalJobRecord) jobStatus {
 	return jobStatus{known: true, stage: final.Stage, final: final}
 }
 
@@ -151,7 +151,7 @@
 		if current.waiting {
 			key = placement.WaitPrefix + id
 		}
-		final := placement.Final{
+		final := placement.FinalJobRecord{
 			Stage: model.Cancelled,
 			Tasks: current.record.Job.Tasks,
 			Count: current.record.Count,
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -56,12 +56,12 @@
 	options  Options
 	store    Store
 	statuses *statusCache
-	finals   *lru.Cache[string, placement.Final]
+	finals   *lru.Cache[string, placement.FinalJobRecord]
 }
 
 // New makes a server over a store.
 func New(options Options, store Store) (*Server, error) {
-	finals, err := lru.New[string, placement.Final](options.FinalCache)
+	finals, err := lru.New[string, placement.FinalJobRecord](options.FinalCache)
 	if err != nil {
 		return nil, fmt.Errorf("intake: %w", err)
 	}
--- a/internal/api/server_test.go
+++ b/internal/api/server_test.go
@@ -315,7 +315,7 @@
 // finishJob ends the job as the leader does.
 func finishJob(fake *fakeStore) {
 	fake.change(store.Delete("job/req-1"))
-	fake.change(store.Put("done/req-1", placement.Final{Stage: model.Done, Tasks: 3, Count: 3}))
+	fake.change(store.Put("done/req-1", placement.FinalJobRecord{Stage: model.Done, Tasks: 3, Count: 3}))
 }
 
 // However many queries there are, they share refreshes, and no answer is older than its
@@ -430,7 +430,7 @@
 		{"asked about, then cancelled elsewhere", func(server *Server, fake *fakeStore) {
 			server.Status(ctx, "req-1")
 			fake.change(store.Delete(placement.JobPrefix + "req-1"))
-			fake.change(store.Put(placement.DonePrefix+"req-1", placement.Final{Stage: model.Cancelled, Tasks: 3}))
+			fake.change(store.Put(placement.DonePrefix+"req-1", placement.FinalJobRecord{Stage: model.Cancelled, Tasks: 3}))
 		}, "200 aborted", 0},
 		{"never heard of here", func(*Server, *fakeStore) {}, "200 queued", 1},
 	} {
--- a/internal/api/submit_test.go
+++ b/internal/api/submit_test.go
@@ -319,7 +319,7 @@
 					server.Cancel(ctx, "req-000412")
 				case "done":
 					fake.change(store.Delete("job/req-000412"))
-					fake.change(store.Put("done/req-000412", placement.Final{Stage: model.Done, Tasks: 2, Count: 2}))
+					fake.change(store.Put("done/req-000412", placement.FinalJobRecord{Stage: model.Done, Tasks: 2, Count: 2}))
 				}
 				if c.change != nil {
 					c.change(server, fake)
--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -260,7 +260,7 @@
 		a, machines := newAutoscaler(), model.NewTable[string, *placement.Machine]()
 		for i := range c.unused + 1 {
 			name := string(rune('a' + i))
-			machines.Put(name, &placement.Machine{Name: name, Pool: large, Phase: placement.Current, Notice: -1, FirstSeen: at(0), IdleSince: at(0),
+			machines.Put(name, &placement.Machine{Name: name, Pool: large, Phase: placement.Current, TerminationNotice: -1, FirstSeen: at(0), IdleSince: at(0),
 				EverUsed: i == c.unused}) // one had a task
 		}
 		a.Tick(at(50), nil, machines, machineTypes, true)
--- a/internal/autoscaler/scale_in.go
+++ b/internal/autoscaler/scale_in.go
@@ -133,7 +133,7 @@
 		case a.unreachableTooLong(machine, now):
 			names = a.markTerminating(names, name)
 		case !takeoverComplete || machine.Phase != placement.Current || machine.Busy():
-		case machine.KeptByDrain(), machine.HeldForGang(now):
+		case machine.KeptByDrain(), machine.HeldForPendingGang(now):
 		case machine.Cordoned, machine.Drained():
 			names = a.markTerminating(names, name)
 		case a.idleTooLong(machine, now):
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -32,7 +32,7 @@
 
 // checkOutcome reads how a job ended. It runs outside the loop.
 func (t *leaderTerm) checkOutcome(id string) {
-	var final placement.Final
+	var final placement.FinalJobRecord
 	item, err := t.ctrl.store.Get(t.ctx, placement.DonePrefix+id)
 	if err == nil {
 		err = json.Unmarshal(item.Value, &final)
--- a/internal/controller/drain_requests.go
+++ b/internal/controller/drain_requests.go
@@ -25,8 +25,8 @@
 	maxReasonBytes   = 200
 )
 
-// maxListedMisfits is how many jobs without free capacity the refusal of a drain names.
-const maxListedMisfits = 5
+// maxListedUnplaceable is how many jobs without free capacity the refusal of a drain names.
+const maxListedUnplaceable = 5
 
 // handleDrain records a drain, and answers once no start that was ordered before it can still be
 // executed.
@@ -169,17 +169,17 @@
 
 // checkFreeCapacity refuses a drain that would leave tasks without free capacity elsewhere.
 func (t *leaderTerm) checkFreeCapacity(now time.Time, drain *placement.Drain) error {
-	covered, misfits := t.scheduler.DrainCheck(now, drain)
-	if len(misfits) == 0 {
+	covered, unplaceable := t.scheduler.DrainCheck(now, drain)
+	if len(unplaceable) == 0 {
 		return nil
 	}
 	var lines []string
-	for i, misfit := range misfits {
-		if i == maxListedMisfits {
-			lines = append(lines, fmt.Sprintf("and %d jobs more", len(misfits)-i))
+	for i, job := range unplaceable {
+		if i == maxListedUnplaceable {
+			lines = append(lines, fmt.Sprintf("and %d jobs more", len(unplaceable)-i))
 			break
 		}
-		lines = append(lines, fmt.Sprintf("%s (%d tasks): %s", misfit.Job, misfit.Tasks, misfit.Why))
+		lines = append(lines, fmt.Sprintf("%s (%d tasks): %s", job.Job, job.Tasks, job.Why))
 	}
 	return status.Errorf(codes.FailedPrecondition, "draining %d machines of %s leaves no room for: %s; --force drains all the same",
 		covered, drain.Target(), strings.Join(lines, "; "))
--- a/internal/controller/leader_term.go
+++ b/internal/controller/leader_term.go
@@ -155,7 +155,7 @@
 	t.nextSummary = now.Add(summaryInterval)
 	s := t.scheduler.Summary(now)
 	t.ctrl.log.Info("cluster",
-		"machines", s.Machines, "booting", t.scheduler.Booting(), "busy", s.Busy, "retiring", s.Retiring,
+		"machines", s.Machines, "booting", t.scheduler.Booting(), "busy", s.Busy, "retiring", s.ScalingIn,
 		"cpus", s.CPUs, "used", s.Used, "jobs", s.Jobs, "waiting", t.scheduler.WaitingJobs(),
-		"bound", s.Bound, "unplaced", s.Unplaced, "placeable", s.Placeable, "saving", t.scheduler.WritesInFlight())
+		"bound", s.Bound, "unplaced", s.Unplaced, "placeable", s.UnmetTasks, "saving", t.scheduler.WritesInFlight())
 }
--- a/internal/controller/links_test.go
+++ b/internal/controller/links_test.go
@@ -60,7 +60,7 @@
 	receive(says("first", 7, 0))
 	term.scheduler.MachinesRecorded(now, []string{"m1"}, 3)
 	term.scheduler.Place(now, nil)
-	v, _ := json.Marshal(placement.Record{Job: &model.Job{ID: "j", Team: "t", Shape: model.Array, Priority: model.Normal, Tasks: 1,
+	v, _ := json.Marshal(placement.JobRecord{Job: &model.Job{ID: "j", Team: "t", Shape: model.Array, Priority: model.Normal, Tasks: 1,
 		Size: model.Size{CPUs: 2, MemoryGB: 2}, Image: "i"}})
 	term.scheduler.ApplyJobChanges(now, []store.Event{{Set: placement.JobPrefix + "j", Value: v, Revision: 10}})
 	for _, w := range term.scheduler.RequestSamples(now) {
--- a/internal/controller/load_test.go
+++ b/internal/controller/load_test.go
@@ -143,7 +143,7 @@
 				set.Add(k)
 			}
 		}
-		value, err := json.Marshal(placement.Record{Job: &model.Job{ID: fmt.Sprintf("req-%06d", i), Team: "t", Shape: model.Array, Priority: model.Normal, Tasks: 100_000,
+		value, err := json.Marshal(placement.JobRecord{Job: &model.Job{ID: fmt.Sprintf("req-%06d", i), Team: "t", Shape: model.Array, Priority: model.Normal, Tasks: 100_000,
 			Size: model.Size{CPUs: 0.1, MemoryGB: 0.1}, Image: "i"}, Finished: set.Encode(0, model.PartTasks(8192-2048)), Count: set.Len()})
 		if err != nil || len(value) > 8192 {
 			t.Fatal(len(value), err)
--- a/internal/controller/queries.go
+++ b/internal/controller/queries.go
@@ -125,7 +125,7 @@
 		return
 	}
 	t.ctrl.env.Go(func() {
-		var final placement.Final
+		var final placement.FinalJobRecord
 		item, err := t.ctrl.store.Get(t.ctx, placement.DonePrefix+id)
 		if err == nil {
 			err = json.Unmarshal(item.Value, &final)
--- a/internal/controller/sizes_test.go
+++ b/internal/controller/sizes_test.go
@@ -39,7 +39,7 @@
 	const jobs = 3000
 	for i := range jobs {
 		id := fmt.Sprintf("req-%06d", i)
-		v, err := json.Marshal(placement.Record{Job: &model.Job{ID: id, Team: "t", Shape: model.Array, Priority: model.Normal, Tasks: 1,
+		v, err := json.Marshal(placement.JobRecord{Job: &model.Job{ID: id, Team: "t", Shape: model.Array, Priority: model.Normal, Tasks: 1,
 			Size: model.Size{CPUs: 2, MemoryGB: 2}, Image: "i"}})
 		if err != nil {
 			t.Fatal(err)
--- a/internal/dag/actions.go
+++ b/internal/dag/actions.go
@@ -30,10 +30,10 @@
 // OutcomeKnown if Op is CheckOutcome, and with WriteDone otherwise.
 type Action struct {
 	Op       Op
-	ID       string           // the job
-	Revision uint64           // revision of the waiting record
-	Record   placement.Record // for Release: the record of the open job
-	Final    placement.Final  // for Cancel: the final record of the job
+	ID       string                   // the job
+	Revision uint64                   // revision of the waiting record
+	Record   placement.JobRecord      // for Release: the record of the open job
+	Final    placement.FinalJobRecord // for Cancel: the final record of the job
 }
 
 // MarkUnknownOutcomes marks each dependency that is neither waiting nor open as having an unknown outcome, so
@@ -115,7 +115,7 @@
 			Op:       Cancel,
 			ID:       spec.ID,
 			Revision: j.revision,
-			Final:    placement.Final{Stage: model.Cancelled, Tasks: spec.Tasks},
+			Final:    placement.FinalJobRecord{Stage: model.Cancelled, Tasks: spec.Tasks},
 		}
 	}
 	return Action{
@@ -129,14 +129,14 @@
 // releasedRecord returns the open record of a job whose dependencies are done. The record is
 // equal to that of a job without dependencies submitted now, so that every version reads it in
 // the same way. Only the deadline still counts from the submission of the waiting job.
-func releasedRecord(record placement.Record, now time.Time) placement.Record {
+func releasedRecord(record placement.JobRecord, now time.Time) placement.JobRecord {
 	spec := *record.Job
 	spec.Needs = nil
 	if spec.Deadline > 0 {
 		waited := now.Sub(time.UnixMilli(record.AcceptedMS))
 		spec.Deadline = max(spec.Deadline-waited, time.Millisecond)
 	}
-	return placement.Record{Job: &spec, AcceptedMS: now.UnixMilli()}
+	return placement.JobRecord{Job: &spec, AcceptedMS: now.UnixMilli()}
 }
 
 // OutcomeKnown records the result of a check. If ok is false, or if the job has not ended, the
--- a/internal/dag/graph.go
+++ b/internal/dag/graph.go
@@ -58,7 +58,7 @@
 
 // waitingJob is a job that waits for other jobs.
 type waitingJob struct {
-	record        placement.Record
+	record        placement.JobRecord
 	revision      uint64 // of the record
 	state         State
 	unmet         map[string]bool // dependencies that are not known to be done
@@ -107,7 +107,7 @@
 
 // WaitingJob returns a waiting job's record and the sorted IDs of the dependencies that are
 // not known to be done. ok is false if the job is not waiting.
-func (g *Graph) WaitingJob(id string) (record placement.Record, unmet []string, ok bool) {
+func (g *Graph) WaitingJob(id string) (record placement.JobRecord, unmet []string, ok bool) {
 	job := g.jobs[id]
 	if job == nil {
 		return record, nil, false
@@ -126,7 +126,7 @@
 
 // Put adds a waiting job from its stored record. If the graph already has the job, Put only
 // updates the revision of its record.
-func (g *Graph) Put(record placement.Record, revision uint64) {
+func (g *Graph) Put(record placement.JobRecord, revision uint64) {
 	id := record.Job.ID
 	if job := g.jobs[id]; job != nil {
 		job.revision = max(job.revision, revision)
--- a/internal/dag/graph_test.go
+++ b/internal/dag/graph_test.go
@@ -27,7 +27,7 @@
 	if change != nil {
 		change(j)
 	}
-	g.Put(placement.Record{Job: j, AcceptedMS: t0.UnixMilli()}, 7)
+	g.Put(placement.JobRecord{Job: j, AcceptedMS: t0.UnixMilli()}, 7)
 }
 
 // runActions simulates the leader: it carries out the due actions until there are none and
--- a/internal/dag/state.go
+++ b/internal/dag/state.go
@@ -19,7 +19,7 @@
 
 // WaitingState is the state of a waiting job.
 type WaitingState struct {
-	Record  placement.Record
+	Record  placement.JobRecord
 	Stamp   uint64 // revision of the record
 	State   State
 	Unmet   []string
@@ -131,7 +131,7 @@
 }
 
 // Records returns the records of the waiting jobs, sorted by job ID.
-func (g *Graph) Records() (records []placement.Record) {
+func (g *Graph) Records() (records []placement.JobRecord) {
 	for _, id := range sortedKeys(g.jobs) {
 		records = append(records, g.jobs[id].record)
 	}
--- a/internal/placement/bench_test.go
+++ b/internal/placement/bench_test.go
@@ -58,18 +58,18 @@
 	if change != nil {
 		change(j)
 	}
-	v, err := json.Marshal(Record{Job: j, AcceptedMS: t0.UnixMilli()})
+	v, err := json.Marshal(JobRecord{Job: j, AcceptedMS: t0.UnixMilli()})
 	if err != nil {
 		b.Fatal(err)
 	}
-	if err := b.PutJob(at(0), id, v, 10, nil); err != nil {
+	if err := b.AddJob(at(0), id, v, 10, nil); err != nil {
 		b.Fatal(err)
 	}
 }
 
 // round runs a round in which every machine of a requested pool is sampled, and returns the number of placed tasks.
 func (b bench) round(s float64) int {
-	b.TryComplete()
+	b.TryCompleteTakeover()
 	var samples []*peerspb.Sample
 	for _, w := range b.SampleRequests(at(s)) {
 		for _, k := range w.Kinds {
--- a/internal/placement/blockers.go
+++ b/internal/placement/blockers.go
@@ -79,7 +79,7 @@
 
 // compareBlocking orders tasks that may be preempted before others, and then by the time until they end.
 func compareBlocking(x, y *operatorspb.Holder) int {
-	return cmp.Or(cmp.Compare(trueFirst(x.MayStop), trueFirst(y.MayStop)), cmp.Compare(x.LeftS, y.LeftS))
+	return cmp.Or(cmp.Compare(sortTrueFirst(x.MayStop), sortTrueFirst(y.MayStop)), cmp.Compare(x.LeftS, y.LeftS))
 }
 
 // explainPreemption reports whether a task may be preempted for a job, with the reason for operators, or the work that
--- a/internal/placement/blockers_test.go
+++ b/internal/placement/blockers_test.go
@@ -16,7 +16,7 @@
 	}
 	b.machine("free", "small", "a")
 	b.job("x", func(j *model.Job) { j.Tasks, j.Shape, j.Size.CPUs, j.Priority = 2, model.Gang, 4, model.High })
-	b.complete = true
+	b.takeoverComplete = true
 	out := b.Blockers("x", at(2))
 	if out.Pieces != 2 || out.Placed != 1 || len(out.Holders) != 3 {
 		t.Fatalf("got %v, want 2 members, 1 placeable, 3 blocking tasks", out)
--- a/internal/placement/cluster_state.go
+++ b/internal/placement/cluster_state.go
@@ -29,14 +29,14 @@
 // and counts in its team's usage. No task is started before the state is complete, that is, before every task that
 // may be running on any machine is known.
 type ClusterState struct {
-	opt             Options
-	token           uint64 // fencing token of the term
-	types           map[string]model.MachineType
-	teams           map[string]model.Team // with the limits in force; see SetLimits
-	configuredTeams map[string]model.Team // as in the settings
-	complete        bool                  // see TryComplete
-	claimsResumed   bool                  // the claims that an earlier leader stored have been resumed
-	readOnly        bool                  // an operator's query is being answered and must not change the state
+	opt              Options
+	token            uint64 // fencing token of the term
+	types            map[string]model.MachineType
+	teams            map[string]model.Team // with the limits in force; see SetLimits
+	configuredTeams  map[string]model.Team // as in the settings
+	takeoverComplete bool                  // see TryCompleteTakeover
+	claimsResumed    bool                  // the claims that an earlier leader stored have been resumed
+	readOnly         bool                  // an operator's query is being answered and must not change the state
 
 	// Jobs and tasks.
 	jobs      *model.Table[string, *Job]
@@ -57,10 +57,10 @@
 	capacityEvents uint64
 
 	// Controllers, and the orders that they have not acknowledged.
-	owners     map[model.Pool]string
-	lastAnswer map[string]time.Time // time of the last response, by member
-	outbox     map[string][]*peerspb.Order
-	orderID    uint64 // of the last order
+	owners       map[model.Pool]string
+	lastResponse map[string]time.Time // time of the last response, by member
+	outbox       map[string][]*peerspb.Order
+	orderID      uint64 // of the last order
 
 	// Teams' usage.
 	teamUsages     map[string]*teamUsage
@@ -113,7 +113,7 @@
 		exitedTasks:     map[string]*model.Table[string, *Machine]{},
 		drains:          model.NewTable[string, *Drain](),
 		owners:          map[model.Pool]string{},
-		lastAnswer:      map[string]time.Time{},
+		lastResponse:    map[string]time.Time{},
 		outbox:          map[string][]*peerspb.Order{},
 		teamUsages:      map[string]*teamUsage{},
 		classes:         model.NewTable[string, *classArrivals](),
@@ -137,13 +137,13 @@
 	cs.poolSets = nil
 }
 
-// Complete reports whether every task that may be running on any machine is known.
-func (cs *ClusterState) Complete() bool { return cs.complete }
+// TakeoverComplete reports whether every task that may be running on any machine is known.
+func (cs *ClusterState) TakeoverComplete() bool { return cs.takeoverComplete }
 
-// TryComplete marks the state as complete, and returns true, once each machine with a stored record has reported
-// its tasks under our token, is terminated, or has an expired lease.
-func (cs *ClusterState) TryComplete() bool {
-	if cs.complete {
+// TryCompleteTakeover marks the state as complete, and returns true, once each machine with a stored record has
+// reported its tasks under our token, is terminated, or has an expired lease.
+func (cs *ClusterState) TryCompleteTakeover() bool {
+	if cs.takeoverComplete {
 		return true
 	}
 	for _, machine := range cs.unreconciled {
@@ -151,7 +151,7 @@
 			return false
 		}
 	}
-	cs.complete = true
+	cs.takeoverComplete = true
 	cs.capacityEvents++
 	return true
 }
@@ -189,8 +189,10 @@
 // Owners returns the owner of each pool.
 func (cs *ClusterState) Owners() map[model.Pool]string { return cs.owners }
 
-// MemberAnswered records the time of a member's last response.
-func (cs *ClusterState) MemberAnswered(member string, now time.Time) { cs.lastAnswer[member] = now }
+// RecordMemberResponse records the time of a member's last response.
+func (cs *ClusterState) RecordMemberResponse(member string, now time.Time) {
+	cs.lastResponse[member] = now
+}
 
 // Machines returns the machines by name.
 func (cs *ClusterState) Machines() *model.Table[string, *Machine] { return cs.machines }
--- a/internal/placement/deadline_boost.go
+++ b/internal/placement/deadline_boost.go
@@ -26,7 +26,7 @@
 		CapacityCPUs:          cs.usableCPUs,
 		LongWaitingGatherTime: cs.longWaitingGatherTime,
 	}
-	if limit := cs.wholeLimit(job).CPUs; limit > 0 && limit < facts.CapacityCPUs {
+	if limit := cs.configuredLimit(job).CPUs; limit > 0 && limit < facts.CapacityCPUs {
 		facts.CapacityCPUs = limit
 	}
 	for _, pool := range cs.poolsFor(job) {
@@ -65,7 +65,7 @@
 		if since, boosted := rule.Boost(facts, now); boosted {
 			job.queueKey.boostedSince = since
 			if !cs.readOnly {
-				job.boosted = job.boosted || overloaded
+				job.boostedInOverload = job.boostedInOverload || overloaded
 			}
 			if overloaded {
 				// Guard: when boosted jobs were ordered by age, all of them started a little too late.
@@ -84,7 +84,7 @@
 func (cs *ClusterState) tasksToStart(job *Job) int {
 	tasks := job.Spec.Tasks
 	if job.Spec.Shape == model.Array {
-		tasks = tasksWithin(cs.wholeLimit(job), model.Size{}, job.Spec.Size, tasks)
+		tasks = tasksWithin(cs.configuredLimit(job), model.Size{}, job.Spec.Size, tasks)
 	}
 	return max(0, tasks-job.finished.Len()-job.bound.Len())
 }
--- a/internal/placement/deadline_boost_test.go
+++ b/internal/placement/deadline_boost_test.go
@@ -29,7 +29,7 @@
 		b.jobs.At("high").Accepted = at(c.age)
 		b.machine("m", "small", "a")
 		b.machines.At("m").reserve("headroom", reservedCapacity{size: model.Size{CPUs: 2}, class: "headroom", rank: 2, until: at(1000)})
-		b.TryComplete()
+		b.TryCompleteTakeover()
 		before, err := b.Export()
 		if err != nil {
 			t.Fatal(err)
--- a/internal/placement/drain_rows.go
+++ b/internal/placement/drain_rows.go
@@ -57,7 +57,7 @@
 	}
 	row := progress.row
 	switch {
-	case !cs.complete: // some machines may not have reported yet
+	case !cs.takeoverComplete: // some machines may not have reported yet
 	case row.Machines == 0 && drain.Scope == NodeScope:
 		row.State = "gone"
 	case row.Empty == row.Machines:
--- a/internal/placement/drain_steps.go
+++ b/internal/placement/drain_steps.go
@@ -31,7 +31,7 @@
 // Guard: a gang's members on other machines are stopped together with those on drained machines. If they were left
 // running, they would notice that members are missing, and the gang would lose its work since the last checkpoint.
 func (cs *ClusterState) advanceDrains(now time.Time) {
-	if !cs.complete || cs.drains.Len() == 0 {
+	if !cs.takeoverComplete || cs.drains.Len() == 0 {
 		return
 	}
 	step := &drainStep{cs: cs, now: now}
@@ -88,13 +88,13 @@
 	return s.capacity.allocate(job, "", 1) == 0
 }
 
-// Undecided returns the numbers of starts and machines through which tasks may still begin to run on drained
+// UnresolvedStarts returns the numbers of starts and machines through which tasks may still begin to run on drained
 // machines: starts that were ordered before the drain and whose outcome is not known yet, and machines that have not
 // reported under this leader's token.
 //
 // Guard: until a machine has seen this leader's token, an earlier leader on the same side of a network partition may
 // start tasks there, for as long as it may act without the state service (simtest, seed 70071424).
-func (cs *ClusterState) Undecided(target string) (starts, machines int) {
+func (cs *ClusterState) UnresolvedStarts(target string) (starts, machines int) {
 	drain := cs.drains.At(target)
 	if drain == nil {
 		return 0, 0
--- a/internal/placement/drain_test.go
+++ b/internal/placement/drain_test.go
@@ -96,9 +96,9 @@
 		b.machine("old", "small", "a", task("x", 0, 7, c.state, ""), task("x", 1, 7, c.state, ""))
 		b.machine("new", "big", "b", task("x", 2, 7, c.state, ""), task("x", 3, 7, c.state, ""))
 		b.machines.At("new").load.CPUs = 32 - c.elsewhere
-		b.complete = true
+		b.takeoverComplete = true
 		b.SetDrains([]*Drain{c.drain}, at(1))
-		b.Evacuate(at(c.at))
+		b.StopTasksOnLeavingMachines(at(c.at))
 		if got := b.stops(); !equalStops(got, c.want) {
 			t.Errorf("%s: stopped %v, want %v", c.name, got, c.want)
 		}
@@ -127,7 +127,7 @@
 		{"a task of a job that ended before this leader took over", false, false, false},
 	} {
 		b := newBench(t)
-		b.complete = true
+		b.takeoverComplete = true
 		b.machine("m", "small", "a")
 		if c.open {
 			b.job("x", func(j *model.Job) { j.CheckpointEvery, j.SaveTime = time.Second, 30*time.Second })
@@ -135,7 +135,7 @@
 		if c.stopped {
 			b.report(1, "m", "current", 9, task("x", 0, 7, model.TaskRunning, ""))
 			b.SetDrains([]*Drain{nodeDrain("m", 0)}, at(1))
-			b.Evacuate(at(1))
+			b.StopTasksOnLeavingMachines(at(1))
 			if got := b.stops(); got["x/0"] != 31 {
 				t.Errorf("%s: stopped %v, want x/0 with 31 s of grace", c.name, got)
 			}
@@ -155,7 +155,7 @@
 			t.Errorf("%s: stopped %v, want x/0 without grace", c.name, got)
 		}
 		b.TokenRenewed(8, at(2))
-		b.Evacuate(at(2))
+		b.StopTasksOnLeavingMachines(at(2))
 		b.report(2, "m", "current", 9, task("x", 0, 7, model.TaskSaving, ""))
 		if got := b.stops(); !equalStops(got, map[string]float64{"x/0": 0}) {
 			t.Errorf("%s, under a new token: stopped %v, want x/0 without grace", c.name, got)
@@ -200,7 +200,7 @@
 	b := newBench(t)
 	b.machine("old", "small", "a")
 	b.machine("new", "small", "b")
-	b.complete = true
+	b.takeoverComplete = true
 	b.job("x", func(j *model.Job) { j.Tasks = 4 })
 	wants := b.SampleRequests(at(1))
 	if len(wants) != 1 {
@@ -276,7 +276,7 @@
 		name   string
 		job    func(j *model.Job)
 		launch bool // machines can be launched
-		want   int  // misfits
+		want   int  // unplaceable jobs
 	}{
 		{"capacity elsewhere", func(j *model.Job) { j.Tasks = 2 }, false, 0},
 		{"too little capacity, but machines can be launched", func(j *model.Job) { j.Tasks, j.Size.CPUs = 1, 4 }, true, 0},
@@ -295,16 +295,16 @@
 	}
 }
 
-// Undecided counts starts whose outcome is unknown, and machines that may still obey an earlier leader because they
-// have not reported under this leader's token. A drain request is not answered while there are any.
-func TestUndecidedStartsAndMachinesOfDrain(t *testing.T) {
+// UnresolvedStarts counts starts whose outcome is unknown, and machines that may still obey an earlier leader because
+// they have not reported under this leader's token. A drain request is not answered while there are any.
+func TestUnresolvedStartsAndMachinesOfDrain(t *testing.T) {
 	b := newBench(t)
 	b.machine("m", "small", "a")
-	b.complete = true
+	b.takeoverComplete = true
 	b.SetDrains([]*Drain{{Scope: ZoneScope, Name: "a"}}, at(1))
 	check := func(when string, starts, machines int) {
 		t.Helper()
-		if s, m := b.Undecided("zone/a"); s != starts || m != machines {
+		if s, m := b.UnresolvedStarts("zone/a"); s != starts || m != machines {
 			t.Errorf("%s: %d starts, %d machines undecided", when, s, m)
 		}
 	}
--- a/internal/placement/explain.go
+++ b/internal/placement/explain.go
@@ -112,7 +112,7 @@
 }
 
 func (e *explanation) orphanedTasks() {
-	if n := e.cluster.orphanedTasks(); n > 0 && e.cluster.complete {
+	if n := e.cluster.orphanedTasks(); n > 0 && e.cluster.takeoverComplete {
 		e.add(CodeOrphanedTasks, time.Time{}, nil, "%d tasks of unknown jobs run; nothing starts until they are gone", n)
 	}
 }
--- a/internal/placement/explain_capacity.go
+++ b/internal/placement/explain_capacity.go
@@ -43,7 +43,7 @@
 	switch {
 	case machine.drain != nil:
 		row.Drained++
-	case machine.ScaleIn && !machine.Cordoned && machine.Phase == Current && machine.Notice < 0:
+	case machine.ScaleIn && !machine.Cordoned && machine.Phase == Current && machine.TerminationNotice < 0:
 		row.Retiring++
 	case !machine.usable():
 		row.Out++
--- a/internal/placement/explain_test.go
+++ b/internal/placement/explain_test.go
@@ -77,7 +77,7 @@
 		if c.prepare != nil {
 			c.prepare(b)
 		}
-		b.complete = true
+		b.takeoverComplete = true
 		before, err := b.Export()
 		if err != nil {
 			t.Fatal(err)
@@ -121,8 +121,8 @@
 	b.machine("retiring", "small", "a")
 	b.machines.At("retiring").ScaleIn = true
 	b.machine("recalled", "small", "a")
-	b.machines.At("recalled").Notice = time.Minute
-	b.complete = true
+	b.machines.At("recalled").TerminationNotice = time.Minute
+	b.takeoverComplete = true
 	b.SetDrains([]*Drain{nodeDrain("drained", 0)}, at(1))
 	for _, r := range b.Explain("x", at(2)).Rooms {
 		if r.Type != "small" || r.Zone != "a" {
--- a/internal/placement/failure_attribution.go
+++ b/internal/placement/failure_attribution.go
@@ -9,10 +9,10 @@
 
 // retryState is a job's failure history.
 type retryState struct {
-	retryAt     time.Time       // no task is started before this time
-	failures    int             // since the history was last cleared; tasks that failed together count once
-	failedOn    map[string]bool // machines on which its tasks failed
-	emptyRounds int             // consecutive rounds in which it found no capacity
+	retryAt               time.Time       // no task is started before this time
+	failures              int             // since the history was last cleared; tasks that failed together count once
+	failedOn              map[string]bool // machines on which its tasks failed
+	roundsWithoutCapacity int             // consecutive rounds in which it found no capacity
 }
 
 // clearFailureHistory clears the failures of a job after one of its tasks finished or ran for long enough.
--- a/internal/placement/free_capacity.go
+++ b/internal/placement/free_capacity.go
@@ -74,7 +74,7 @@
 // Guard: a machine that has yet to report a fresh token, or whose record is being stored, is about to become
 // usable; no other machine must be requested in its place.
 func (m *Machine) isOrBecomesUsable() bool {
-	return m.Phase != ExpiryReported && m.Phase != Expired && !m.Cordoned && !m.ScaleIn && m.drain == nil && m.Notice < 0 &&
+	return m.Phase != ExpiryReported && m.Phase != Expired && !m.Cordoned && !m.ScaleIn && m.drain == nil && m.TerminationNotice < 0 &&
 		!m.Unreachable && !m.cyclesControllers
 }
 
--- a/internal/placement/gang_claims.go
+++ b/internal/placement/gang_claims.go
@@ -45,7 +45,7 @@
 
 // orderClaimed orders the claimed members whose machines are usable.
 func (cs *ClusterState) orderClaimed(job *Job) {
-	if !cs.complete || job.claim.State != reservation.Claimed && job.claim.State != reservation.Starting {
+	if !cs.takeoverComplete || job.claim.State != reservation.Claimed && job.claim.State != reservation.Starting {
 		return
 	}
 	for _, task := range job.bound.All() {
--- a/internal/placement/gang_claims_test.go
+++ b/internal/placement/gang_claims_test.go
@@ -38,7 +38,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := n.PutJob(at(10), "g", v, 20, nil); err != nil {
+	if err := n.AddJob(at(10), "g", v, 20, nil); err != nil {
 		t.Fatal(err)
 	}
 	for _, name := range up {
@@ -102,7 +102,7 @@
 		{"a member gave up waiting", map[string]*peerspb.Task{first: task("g", 0, attempt, model.TaskExited, model.CauseIsolated)}, []string{first, second}, 1, "", 0},
 	} {
 		n := b.nextLeader(t, write, c.running, c.up...)
-		n.TryComplete()
+		n.TryCompleteTakeover()
 		n.Place(at(10), nil)
 		g := n.jobs.At("g")
 		if c.late > 0 {
--- a/internal/placement/gang_moves.go
+++ b/internal/placement/gang_moves.go
@@ -152,7 +152,7 @@
 // drainDemands returns the demands of gangs that are to leave drained machines and have no capacity elsewhere. A
 // demand begins a machine's boot time plus drainRequestLead before the deadline.
 func (cs *ClusterState) drainDemands(now time.Time, capacity *freeCapacity) (demands []UnmetDemand) {
-	if cs.drains.Len() == 0 || !cs.complete {
+	if cs.drains.Len() == 0 || !cs.takeoverComplete {
 		return nil
 	}
 	for _, job := range cs.jobs.All() {
@@ -160,7 +160,7 @@
 			continue
 		}
 		move := cs.planGangMove(job, now)
-		if (move.step != gangRunToDeadline && move.step != gangAwaitCapacity) || now.Add(cs.boot(job)+drainRequestLead).Before(move.deadline) {
+		if (move.step != gangRunToDeadline && move.step != gangAwaitCapacity) || now.Add(cs.maxBootTime(job)+drainRequestLead).Before(move.deadline) {
 			continue
 		}
 		// The free capacity doesn't include the capacity that the gang itself uses on machines that aren't
--- a/internal/placement/inherited_priority_test.go
+++ b/internal/placement/inherited_priority_test.go
@@ -86,14 +86,14 @@
 		if c.started {
 			b.machine("m", "small", "a", task("first", 0, 1, model.TaskRunning, ""))
 		}
-		b.TryComplete()
+		b.TryCompleteTakeover()
 		spec := &model.Job{ID: "second", Team: "free", Shape: model.Array, Priority: model.Low, Tasks: 6,
 			Size: model.Size{CPUs: 2}, Estimate: time.Minute}
 		dependsOn := []string{"first"}
 		if c.gone {
 			dependsOn = []string{"other"}
 		}
-		b.ExpectJobs([]UpcomingJob{{Spec: spec, DependsOn: dependsOn}}, at(c.now))
+		b.SetUpcomingJobs([]UpcomingJob{{Spec: spec, DependsOn: dependsOn}}, at(c.now))
 		got := 0
 		for _, n := range b.UnmetDemands(at(c.now)) {
 			if n.Job == "second" {
--- a/internal/placement/job.go
+++ b/internal/placement/job.go
@@ -45,15 +45,15 @@
 	queueNumber       uint64        // of the last queue that contained the job
 	effectivePriority int           // its own priority, or that of a job which depends on it
 	dueWithin         time.Duration // time from Accepted until the job is due; 0: it has no deadline
-	boosted           bool          // it got a deadline boost while the cluster was pressed; see boostDeadlines
+	boostedInOverload bool          // it got a deadline boost while the cluster was pressed; see boostDeadlines
 }
 
 // searchState records the outcome of earlier searches for free capacity for a job, and its reservations.
 type searchState struct {
-	triedAtEvent  uint64    // value of capacityEvents at the last search
-	lastTurn      uint64    // last round in which it was considered, or was known to find no capacity
-	lastScan      time.Time // when it last found no capacity
-	unplacedSince time.Time // since when it has had tasks without capacity
+	searchedAtEvent     uint64    // value of capacityEvents at the last search
+	lastRoundConsidered uint64    // last round in which it was considered, or was known to find no capacity
+	lastEmptyRoundAt    time.Time // when it last found no capacity
+	unplacedSince       time.Time // since when it has had tasks without capacity
 
 	lastPreemptSearch uint64    // last round that searched for tasks to preempt for it
 	preemptedAt       time.Time // when tasks were last preempted for it
--- a/internal/placement/job_records.go
+++ b/internal/placement/job_records.go
@@ -5,9 +5,9 @@
 	"github.com/marlwood/marlwood/internal/reservation"
 )
 
-// Record is the stored form of an open job, under job/<id>. Finished holds the first part of the completion
+// JobRecord is the stored form of an open job, under job/<id>. Finished holds the first part of the completion
 // bitmap; further parts have keys of their own.
-type Record struct {
+type JobRecord struct {
 	Job        *model.Job `json:"job"`
 	AcceptedMS int64      `json:"accepted_ms"`
 	Started    bool       `json:"started,omitempty"`
@@ -18,8 +18,8 @@
 	Claim *reservation.Record `json:"claim,omitempty"` // of a gang whose members are not all running; versions before 0.5 ignore it
 }
 
-// Final is the stored form of a job that is finished or cancelled, under done/<id>.
-type Final struct {
+// FinalJobRecord is the stored form of a job that is finished or cancelled, under done/<id>.
+type FinalJobRecord struct {
 	Stage model.Stage `json:"stage"`
 	Tasks int         `json:"tasks"`
 	Count int         `json:"count"`
@@ -37,10 +37,10 @@
 )
 
 // Records returns the current records of the open jobs, each with its whole completion bitmap.
-func (cs *ClusterState) Records() (out []Record) {
+func (cs *ClusterState) Records() (out []JobRecord) {
 	for _, job := range cs.jobs.All() {
 		if !job.Cancelled {
-			out = append(out, Record{Job: job.Spec, AcceptedMS: job.Accepted.UnixMilli(), Started: job.Started,
+			out = append(out, JobRecord{Job: job.Spec, AcceptedMS: job.Accepted.UnixMilli(), Started: job.Started,
 				Finished: job.finished.Encode(0, job.Spec.Tasks), Count: job.finished.Len()})
 		}
 	}
--- a/internal/placement/job_writes.go
+++ b/internal/placement/job_writes.go
@@ -29,8 +29,8 @@
 	Number        uint64            // identifies the write within the term when its outcome is reported
 	ID            string            // of the job
 	Stamp         uint64            // revision of the job's record, which is the write's precondition
-	Over          *Final            // final record that replaces the record of a finished job; nil: the job is not finished
-	Record        *Record           // record of a job that is not finished; nil: it is not written
+	Over          *FinalJobRecord   // final record that replaces the record of a finished job; nil: the job is not finished
+	Record        *JobRecord        // record of a job that is not finished; nil: it is not written
 	Parts         map[string]string // parts of the completion bitmap beside the record, by name
 	Claim         int               // version of the gang's claim that the record holds; 0: none
 	finishedTasks *model.TaskSet    // finished tasks that are stored once the write succeeds
@@ -153,8 +153,8 @@
 // writes do not only serve for display, then by how long the write has been due.
 func compareDueWrites(x, y *Job) int {
 	return cmp.Or(
-		cmp.Compare(trueFirst(x.claimPending()), trueFirst(y.claimPending())),
-		cmp.Compare(trueFirst(!x.displayOnly()), trueFirst(!y.displayOnly())),
+		cmp.Compare(sortTrueFirst(x.claimPending()), sortTrueFirst(y.claimPending())),
+		cmp.Compare(sortTrueFirst(!x.displayOnly()), sortTrueFirst(!y.displayOnly())),
 		x.writeDue.Compare(y.writeDue),
 	)
 }
@@ -165,7 +165,7 @@
 	cs.writeCount++
 	write := &JobWrite{Number: cs.writeCount, ID: job.Spec.ID, Stamp: job.Revision}
 	if job.allTasksFinished() {
-		write.Over = &Final{Stage: model.Done, Tasks: job.Spec.Tasks, Count: job.Spec.Tasks}
+		write.Over = &FinalJobRecord{Stage: model.Done, Tasks: job.Spec.Tasks, Count: job.Spec.Tasks}
 	} else {
 		cs.fillWrite(write, job, maxParts)
 	}
@@ -228,7 +228,7 @@
 	}
 	to := min(tasksPerPart, job.Spec.Tasks)
 	write.finishedTasks.Union(job.finished, 0, to)
-	write.Record = &Record{
+	write.Record = &JobRecord{
 		Job:        job.Spec,
 		AcceptedMS: job.Accepted.UnixMilli(),
 		Started:    job.Started,
--- a/internal/placement/job_writes_test.go
+++ b/internal/placement/job_writes_test.go
@@ -19,7 +19,7 @@
 	b := newBench(t)
 	b.opt.PartTasks, b.opt.SplitTasks = model.PartTasks(8192-2048), model.PartTasks(1024-128)
 	l := &limitedStore{valueBytes: 2048, maxOps: 5, record: p.Record, parts: p.Parts, revision: 30, now: 5}
-	if err := b.PutJob(at(0), "req-000412", p.Record, 30, p.Parts); err != nil {
+	if err := b.AddJob(at(0), "req-000412", p.Record, 30, p.Parts); err != nil {
 		t.Fatal(err)
 	}
 	j := b.jobs.At("req-000412")
@@ -57,7 +57,7 @@
 	b.job("req-000412", func(j *model.Job) { j.Tasks, j.Image = 5000, strings.Repeat("i", 1900) })
 	b.SplitParts()
 	l := &limitedStore{valueBytes: 300, maxOps: 5, parts: map[string]string{}}
-	l.record, _ = json.Marshal(Record{Job: b.jobs.At("req-000412").Spec})
+	l.record, _ = json.Marshal(JobRecord{Job: b.jobs.At("req-000412").Spec})
 	for i := 0; i < 5000; i += 3 {
 		b.markFinished(b.jobs.At("req-000412"), i)
 	}
@@ -107,7 +107,7 @@
 	}
 	p := loadProduction(t)
 	known := keys(p.Record)
-	v, err := json.Marshal(Record{Job: &model.Job{ID: "req-1", Zone: "a", Types: []string{"big"}, Deadline: time.Second}, AcceptedMS: 1,
+	v, err := json.Marshal(JobRecord{Job: &model.Job{ID: "req-1", Zone: "a", Types: []string{"big"}, Deadline: time.Second}, AcceptedMS: 1,
 		Started: true, Finished: "b", Count: 1})
 	if err != nil {
 		t.Fatal(err)
@@ -117,7 +117,7 @@
 			t.Errorf("field %s is unknown to the version in production", k)
 		}
 	}
-	final, err := json.Marshal(Final{Stage: model.Cancelled, Tasks: 3})
+	final, err := json.Marshal(FinalJobRecord{Stage: model.Cancelled, Tasks: 3})
 	if err != nil || !slices.Equal(keys(final), keys(p.Final)) {
 		t.Errorf("final record has the fields %v", keys(final))
 	}
@@ -184,7 +184,7 @@
 					b.SplitParts()
 					j := b.jobs.At("req-000412")
 					l := &limitedStore{valueBytes: 1000, maxOps: 5, parts: map[string]string{}}
-					l.record, _ = json.Marshal(Record{Job: j.Spec})
+					l.record, _ = json.Marshal(JobRecord{Job: j.Spec})
 					draw := rand.New(rand.NewPCG(1, uint64(next)))
 					for j.Finished() < 500 {
 						if i := draw.IntN(2000); i != next {
@@ -239,7 +239,7 @@
 		b.job("req-000412", func(j *model.Job) { j.Tasks = 2000 })
 		b.SplitParts()
 		l := &limitedStore{valueBytes: 1000, maxOps: 5, parts: map[string]string{}}
-		l.record, _ = json.Marshal(Record{Job: b.jobs.At("req-000412").Spec})
+		l.record, _ = json.Marshal(JobRecord{Job: b.jobs.At("req-000412").Spec})
 		for draw := rand.New(rand.NewPCG(1, 2)); b.jobs.At("req-000412").Finished() < 500; {
 			b.markFinished(b.jobs.At("req-000412"), 1+draw.IntN(1999))
 		}
@@ -262,7 +262,7 @@
 		next := newBench(t)
 		next.opt.PartTasks, next.opt.SplitTasks = 40000, 1024
 		next.SplitParts()
-		if err := next.PutJob(at(l.now), "req-000412", l.record, 30, l.parts); err != nil {
+		if err := next.AddJob(at(l.now), "req-000412", l.record, 30, l.parts); err != nil {
 			t.Fatal(err)
 		}
 		next.markFinished(next.jobs.At("req-000412"), 0)
--- a/internal/placement/jobs.go
+++ b/internal/placement/jobs.go
@@ -12,14 +12,14 @@
 // errWrongJob is returned for a record whose job is missing or has an ID that differs from the record's key.
 var errWrongJob = errors.New("job in the record is missing or does not match its key")
 
-// PutJob adds a job from its record as stored at a revision. parts are the parts of its completion bitmap that
+// AddJob adds a job from its record as stored at a revision. parts are the parts of its completion bitmap that
 // are stored beside the record, by name. If the job is known already, only its revision is updated.
-func (cs *ClusterState) PutJob(now time.Time, id string, value json.RawMessage, revision uint64, parts map[string]string) error {
+func (cs *ClusterState) AddJob(now time.Time, id string, value json.RawMessage, revision uint64, parts map[string]string) error {
 	if job := cs.jobs.At(id); job != nil {
 		job.Revision = max(job.Revision, revision)
 		return nil
 	}
-	var record Record
+	var record JobRecord
 	if err := json.Unmarshal(value, &record); err != nil {
 		return fmt.Errorf("record of job %s: %w", id, err)
 	}
@@ -44,7 +44,7 @@
 }
 
 // newJob returns a job made from its record, with none of its tasks marked as finished.
-func (cs *ClusterState) newJob(record *Record, revision uint64, now time.Time) *Job {
+func (cs *ClusterState) newJob(record *JobRecord, revision uint64, now time.Time) *Job {
 	spec := record.Job
 	return &Job{
 		Spec:        spec,
@@ -55,7 +55,7 @@
 		usage:       cs.usageOf(spec.Team),
 		finished:    model.NewTaskSet(spec.Tasks),
 		bound:       model.NewTable[int, *Task](),
-		searchState: searchState{lastTurn: cs.roundNumber},
+		searchState: searchState{lastRoundConsidered: cs.roundNumber},
 		writeState:  writeState{storedFinished: model.NewTaskSet(spec.Tasks), tasksPerPart: cs.opt.SplitTasks},
 	}
 }
@@ -77,7 +77,7 @@
 
 // restoreClaim restores a gang's claim from the job's record, unless the gang has started. A gang whose claim cannot
 // be restored is placed like any other gang.
-func (cs *ClusterState) restoreClaim(job *Job, record *Record, now time.Time) {
+func (cs *ClusterState) restoreClaim(job *Job, record *JobRecord, now time.Time) {
 	if record.Claim == nil || record.Started {
 		return
 	}
--- a/internal/placement/large_test.go
+++ b/internal/placement/large_test.go
@@ -19,7 +19,7 @@
 		b.markFinished(j, i)
 	}
 	parts := map[string]string{}
-	var rec *Record
+	var rec *JobRecord
 	for i := range 3 {
 		for _, s := range b.DueWrites(at(float64(10*i)), time.Second, 2) {
 			if len(s.Parts) > 2 {
@@ -37,7 +37,7 @@
 		t.Fatal(err)
 	}
 	again := newBench(t)
-	if err := again.PutJob(at(0), "x", v, 30, parts); err != nil {
+	if err := again.AddJob(at(0), "x", v, 30, parts); err != nil {
 		t.Fatal(err)
 	}
 	if got := again.jobs.At("x"); got.Finished() != 150 || !got.finished.Has(298) || got.finished.Has(299) {
@@ -58,7 +58,7 @@
 		for i := range jobs {
 			b.job(fmt.Sprintf("w%03d", i), func(j *model.Job) { j.Tasks, j.Estimate = tasks, 10*time.Minute })
 		}
-		b.TryComplete()
+		b.TryCompleteTakeover()
 		return b
 	}
 	work := func(b bench) float64 {
--- a/internal/placement/limited_store_test.go
+++ b/internal/placement/limited_store_test.go
@@ -97,7 +97,7 @@
 func (l *limitedStore) load(t *testing.T, opt Options) *Job {
 	again := newBench(t)
 	again.opt.PartTasks, again.opt.SplitTasks = opt.PartTasks, opt.SplitTasks
-	if err := again.PutJob(at(0), "req-000412", l.record, 30, l.parts); err != nil {
+	if err := again.AddJob(at(0), "req-000412", l.record, 30, l.parts); err != nil {
 		t.Fatal(err)
 	}
 	return again.jobs.At("req-000412")
--- a/internal/placement/limits.go
+++ b/internal/placement/limits.go
@@ -23,12 +23,12 @@
 	}
 }
 
-// wholeLimit returns the configured limit of a job's team, of which other regions may have a share at the moment.
+// configuredLimit returns the configured limit of a job's team, of which other regions may have a share at the moment.
 //
 // Guard: estimates of how long a job uses up its team's limit were divided by the part of the limit that the
 // team has in this region at the moment. Where that part was close to zero the estimates overflowed, and the job
 // counted as the most urgent of all.
-func (cs *ClusterState) wholeLimit(job *Job) model.Size {
+func (cs *ClusterState) configuredLimit(job *Job) model.Size {
 	return cs.configuredTeams[job.Spec.Team].Limit
 }
 
@@ -40,10 +40,10 @@
 	Since   time.Time  // when that job was accepted
 }
 
-// Demands returns the demands of all teams. It returns false if they are not known, because the cluster state is
+// TeamDemands returns the demands of all teams. It returns false if they are not known, because the cluster state is
 // incomplete or orphaned tasks run, whose teams are not known.
-func (cs *ClusterState) Demands() (map[string]TeamDemand, bool) {
-	if !cs.complete || cs.orphanedTasks() > 0 {
+func (cs *ClusterState) TeamDemands() (map[string]TeamDemand, bool) {
+	if !cs.takeoverComplete || cs.orphanedTasks() > 0 {
 		return nil, false
 	}
 	demands := make(map[string]TeamDemand, len(cs.teamUsages))
--- a/internal/placement/limits_test.go
+++ b/internal/placement/limits_test.go
@@ -15,7 +15,7 @@
 	b.machine("m", "big", "a", &peerspb.Task{Job: "x", Index: 0, Attempt: 1, State: "running"})
 	b.job("x", func(j *model.Job) { j.Team, j.Tasks = "tight", 9 })
 	b.report(1, "m", "current", 0, &peerspb.Task{Job: "x", Index: 0, Attempt: 1, State: "running"})
-	b.TryComplete()
+	b.TryCompleteTakeover()
 	x := b.jobs.At("x")
 	for _, c := range []struct{ limit, headroom float64 }{{4, 1}, {2, 0}, {1e-9, 0}, {10, 4}, {100, 8}} {
 		b.SetLimits(map[string]model.Size{"tight": {CPUs: c.limit}, "unknown": {CPUs: 1}})
@@ -36,25 +36,25 @@
 	}
 }
 
-// Demands returns what each team uses and waits for. The demands are not known while the cluster state is
+// TeamDemands returns what each team uses and waits for. The demands are not known while the cluster state is
 // incomplete or orphaned tasks run.
-func TestDemands(t *testing.T) {
+func TestTeamDemands(t *testing.T) {
 	b := newBench(t)
 	b.machine("m", "big", "a")
 	b.job("x", func(j *model.Job) { j.Team, j.Tasks, j.Priority = "tight", 3, model.Low })
 	b.job("y", func(j *model.Job) { j.Team, j.Tasks, j.Priority = "tight", 2, model.High })
-	if _, known := b.Demands(); known {
+	if _, known := b.TeamDemands(); known {
 		t.Error("demands are known before the cluster state is complete")
 	}
-	b.TryComplete()
+	b.TryCompleteTakeover()
 	b.startTask(at(1), b.jobs.At("x"), 0, b.machines.At("m"), b.nextAttempt())
-	d, known := b.Demands()
+	d, known := b.TeamDemands()
 	x := b.jobs.At("x").Spec.Size
 	if got := d["tight"]; !known || got.Used != x || got.Waiting != x.Times(4) || got.Rank != b.jobs.At("y").effectivePriority {
 		t.Errorf("demands known: %v, demand of the team: %+v", known, got)
 	}
 	b.report(2, "m", "current", 100, &peerspb.Task{Job: "nobody", Index: 0, Attempt: 9, State: "running"})
-	if _, known := b.Demands(); known {
+	if _, known := b.TeamDemands(); known {
 		t.Error("demands are known while orphaned tasks run")
 	}
 }
@@ -66,7 +66,7 @@
 	b := newBench(t)
 	b.opt.ShortFirst, b.opt.BeginWithin = 10, 4*time.Minute
 	b.machine("m", "big", "a")
-	b.TryComplete()
+	b.TryCompleteTakeover()
 	b.job("x", func(j *model.Job) { j.Team, j.Tasks, j.Estimate = "tight", 90, time.Minute })
 	x := b.jobs.At("x")
 	b.usableCPUs = 32
--- a/internal/placement/machine.go
+++ b/internal/placement/machine.go
@@ -41,15 +41,15 @@
 	recordState
 
 	// Reasons why it gets no new tasks. If several drains cover the machine, drain combines them.
-	Cordoned    bool      // permanently, except for a quarantine
-	ScaleIn     bool      // a scale-in candidate, until its capacity is needed again
-	quarantined bool      // cordoned because tasks failed on it; see Quarantine
-	reopenedAt  time.Time // when it was last uncordoned; see uncordonForStarvedJobs
-	drain       *Drain    // nil: no drain covers it
+	Cordoned     bool      // permanently, except for a quarantine
+	ScaleIn      bool      // a scale-in candidate, until its capacity is needed again
+	quarantined  bool      // cordoned because tasks failed on it; see Quarantine
+	uncordonedAt time.Time // when it was last uncordoned; see uncordonForStarvedJobs
+	drain        *Drain    // nil: no drain covers it
 
 	// The termination notice of a spot machine: the time from NoticeAt until it is terminated.
-	Notice   time.Duration // -1: none
-	NoticeAt time.Time
+	TerminationNotice time.Duration // -1: none
+	NoticeAt          time.Time
 
 	// Its owner's reports.
 	MissedHeartbeats    bool // no heartbeat for longer than the heartbeat interval
@@ -76,7 +76,7 @@
 	load          model.Size
 	images        []cachedImage // the most recently used one last
 	reserved      *model.Table[string, reservedCapacity]
-	heldForGangAt time.Time // when it was last found to be held for a gang; see HeldForGang
+	heldForGangAt time.Time // when it was last found to be held for a gang; see HeldForPendingGang
 
 	failures map[string]failureRecord // by job: failures of its tasks here since a task last finished here
 	log      *slog.Logger
@@ -97,19 +97,19 @@
 		return
 	}
 	cs.addMachine(&Machine{
-		Name:        record.Name,
-		Addr:        record.Addr,
-		Pool:        record.Pool,
-		Spot:        record.Spot,
-		recordState: recordState{Recorded: true, Revision: record.Revision},
-		Notice:      -1,
-		FirstSeen:   now,
-		IdleSince:   now,
-		PhaseSince:  now,
-		Listed:      true,
-		EverUsed:    true,
-		tasks:       newTasks(),
-		log:         cs.opt.Log,
+		Name:              record.Name,
+		Addr:              record.Addr,
+		Pool:              record.Pool,
+		Spot:              record.Spot,
+		recordState:       recordState{Recorded: true, Revision: record.Revision},
+		TerminationNotice: -1,
+		FirstSeen:         now,
+		IdleSince:         now,
+		PhaseSince:        now,
+		Listed:            true,
+		EverUsed:          true,
+		tasks:             newTasks(),
+		log:               cs.opt.Log,
 	})
 }
 
--- a/internal/placement/machine_status.go
+++ b/internal/placement/machine_status.go
@@ -59,13 +59,13 @@
 			return nil
 		}
 		machine = &Machine{
-			Name:      status.Name,
-			Pool:      pool,
-			Notice:    -1,
-			FirstSeen: now,
-			IdleSince: now,
-			tasks:     newTasks(),
-			log:       cs.opt.Log,
+			Name:              status.Name,
+			Pool:              pool,
+			TerminationNotice: -1,
+			FirstSeen:         now,
+			IdleSince:         now,
+			tasks:             newTasks(),
+			log:               cs.opt.Log,
 		}
 		cs.addMachine(machine)
 	}
@@ -118,12 +118,12 @@
 // setNotice records the termination notice of a spot machine, in milliseconds until its termination. A negative value
 // means that there is no notice.
 func (m *Machine) setNotice(noticeMs int64, now time.Time) {
-	if m.Notice < 0 && noticeMs >= 0 {
+	if m.TerminationNotice < 0 && noticeMs >= 0 {
 		m.NoticeAt = now
 	}
-	m.Notice = time.Duration(noticeMs) * time.Millisecond
+	m.TerminationNotice = time.Duration(noticeMs) * time.Millisecond
 	if noticeMs < 0 {
-		m.Notice = -1
+		m.TerminationNotice = -1
 	}
 }
 
--- a/internal/placement/operator_rows.go
+++ b/internal/placement/operator_rows.go
@@ -15,8 +15,8 @@
 	return t.UnixMilli()
 }
 
-// PageRows is the maximum number of rows in one response to operators.
-const PageRows = 500
+// PageSize is the maximum number of rows in one response to operators.
+const PageSize = 500
 
 // withReadOnly runs a query without changing the cluster state.
 //
@@ -95,7 +95,7 @@
 		if id <= after {
 			continue
 		}
-		if len(rows) == PageRows {
+		if len(rows) == PageSize {
 			return rows, true
 		}
 		row := cs.jobRow(job, now)
@@ -112,7 +112,7 @@
 		if name <= after {
 			continue
 		}
-		if len(rows) == PageRows {
+		if len(rows) == PageSize {
 			return rows, true
 		}
 		rows = append(rows, cs.machineRow(machine, now))
@@ -142,8 +142,8 @@
 		AgeS:         now.Sub(machine.FirstSeen).Seconds(),
 		Owner:        cs.owners[machine.Pool],
 	}
-	if machine.Notice >= 0 {
-		row.RecallS = max(0, machine.Notice-now.Sub(machine.NoticeAt)).Seconds()
+	if machine.TerminationNotice >= 0 {
+		row.RecallS = max(0, machine.TerminationNotice-now.Sub(machine.NoticeAt)).Seconds()
 	}
 	if machine.drain != nil {
 		row.Drain = machine.drain.Target()
--- a/internal/placement/operator_rows_test.go
+++ b/internal/placement/operator_rows_test.go
@@ -23,7 +23,7 @@
 			j.Tasks, j.Size, j.Priority = 40, model.Size{CPUs: 30, MemoryGB: 9}, []model.Priority{model.Low, model.High}[i%2]
 		})
 	}
-	b.complete = true
+	b.takeoverComplete = true
 	b.SetDrains([]*Drain{{Scope: ZoneScope, Name: "a", Deadline: at(90)}}, at(1))
 	return b
 }
--- a/internal/placement/placement_rule.go
+++ b/internal/placement/placement_rule.go
@@ -14,7 +14,7 @@
 
 // usable reports whether tasks may be started on a machine at all.
 func (m *Machine) usable() bool {
-	return m.Phase == Current && m.Recorded && !m.Cordoned && !m.ScaleIn && m.drain == nil && m.Notice < 0 && m.orphans == 0 &&
+	return m.Phase == Current && m.Recorded && !m.Cordoned && !m.ScaleIn && m.drain == nil && m.TerminationNotice < 0 && m.orphans == 0 &&
 		!m.MissedHeartbeats && !m.Unreachable && !m.cyclesControllers
 }
 
@@ -63,11 +63,11 @@
 // for this task. The fields that are compared before them are exceptions to that rule.
 func (s machineScore) compare(other machineScore) int {
 	return cmp.Or(
-		cmp.Compare(trueFirst(!s.jobFailedHere), trueFirst(!other.jobFailedHere)),
-		cmp.Compare(trueFirst(!s.missesStartObjective), trueFirst(!other.missesStartObjective)),
+		cmp.Compare(sortTrueFirst(!s.jobFailedHere), sortTrueFirst(!other.jobFailedHere)),
+		cmp.Compare(sortTrueFirst(!s.missesStartObjective), sortTrueFirst(!other.missesStartObjective)),
 		cmp.Compare(s.replicaLoss, other.replicaLoss),
 		cmp.Compare(s.price, other.price),
-		cmp.Compare(trueFirst(!s.needsFetch), trueFirst(!other.needsFetch)),
+		cmp.Compare(sortTrueFirst(!s.needsFetch), sortTrueFirst(!other.needsFetch)),
 		cmp.Compare(s.usedShare, other.usedShare),
 		cmp.Compare(other.slots, s.slots),
 	)
--- a/internal/placement/placement_rule_test.go
+++ b/internal/placement/placement_rule_test.go
@@ -142,7 +142,7 @@
 		{"spot allowed", func(j *model.Job) { j.Spot = true }, onAllMachines(func(_ bench, m *Machine) { m.Spot = true }), 1},
 		{"no host record yet", nil, onAllMachines(func(_ bench, m *Machine) { m.Recorded = false }), 0},
 		{"cordoned", nil, onAllMachines(func(b bench, m *Machine) { b.Cordon(m) }), 0},
-		{"recall announced", nil, onAllMachines(func(_ bench, m *Machine) { m.Notice = time.Second }), 0},
+		{"recall announced", nil, onAllMachines(func(_ bench, m *Machine) { m.TerminationNotice = time.Second }), 0},
 		{"one machine is in phase joining", func(j *model.Job) { j.Tasks = 8 }, func(b bench) { b.report(0.5, "a0", "joining", 0) }, 6},
 		// The team and the size of a task of an unknown job are not known.
 		{"tasks of unknown jobs run", func(j *model.Job) { j.Tasks = 8 }, func(b bench) {
@@ -156,7 +156,7 @@
 				b.machine(fmt.Sprintf("a%d", i), "small", "a")
 				b.machine(fmt.Sprintf("b%d", i), "small", "b")
 			}
-			b.TryComplete()
+			b.TryCompleteTakeover()
 			b.job("x", c.job)
 			if c.prepare != nil {
 				c.prepare(b)
--- a/internal/placement/preemption.go
+++ b/internal/placement/preemption.go
@@ -30,7 +30,7 @@
 // Guard: every round knows all jobs for which no machine has capacity. Without preemptionSearches, a round
 // searched for every one of them; a few thousand of them would take all of a leader's processor time.
 func (cs *ClusterState) Preempt(now time.Time) {
-	if !cs.complete {
+	if !cs.takeoverComplete {
 		return
 	}
 	pending, candidates := cs.jobsToPreemptFor(now)
@@ -74,7 +74,7 @@
 // preemptedRecently reports whether it is too soon to preempt for a job: it hasn't waited for long enough, or a
 // preemption or a search for it was made a short time ago.
 func (cs *ClusterState) preemptedRecently(job *Job, now time.Time) bool {
-	return job.emptyRounds <= cs.opt.ScanAfter ||
+	return job.roundsWithoutCapacity <= cs.opt.ScanAfter ||
 		now.Sub(job.unplacedSince) < cs.opt.PreemptWait ||
 		now.Sub(job.preemptedAt) < preemptionRetryAfter ||
 		job.Spec.Shape != model.Gang && job.lastPreemptSearch > 0 && cs.roundNumber-job.lastPreemptSearch < preemptionSearchRetryRounds
@@ -182,12 +182,12 @@
 	return true
 }
 
-// Evacuate stops tasks on machines that are to be emptied. On a machine that the provider has announced to
-// recall, it stops the running tasks that write checkpoints, while there is still time to write one. It also
-// advances the drains.
-func (cs *ClusterState) Evacuate(now time.Time) {
+// StopTasksOnLeavingMachines stops tasks on machines that are to be emptied. On a machine that the provider has
+// announced to recall, it stops the running tasks that write checkpoints, while there is still time to write one. It
+// also advances the drains.
+func (cs *ClusterState) StopTasksOnLeavingMachines(now time.Time) {
 	for _, machine := range cs.machines.All() {
-		if machine.Notice < 0 || machine.Phase != Current {
+		if machine.TerminationNotice < 0 || machine.Phase != Current {
 			continue
 		}
 		for _, task := range machine.tasks.All() {
--- a/internal/placement/preemption_rules.go
+++ b/internal/placement/preemption_rules.go
@@ -23,7 +23,7 @@
 	if !byPriority && !cs.isBorrowed(job, task, now) {
 		return false
 	}
-	return !task.job.boosted || !job.queueKey.boostedSince.IsZero()
+	return !task.job.boostedInOverload || !job.queueKey.boostedSince.IsZero()
 }
 
 // isBorrowed reports whether a task may be preempted to give a job's team its guarantee, because another team
--- a/internal/placement/preemption_test.go
+++ b/internal/placement/preemption_test.go
@@ -79,8 +79,8 @@
 			j.Shape, j.Priority, j.Size, j.Image = model.Gang, model.High, model.Size{CPUs: 4}, "new"
 			c.job(j)
 		})
-		b.jobs.At("g").emptyRounds, b.jobs.At("g").unplacedSince = 3, at(5)
-		b.TryComplete()
+		b.jobs.At("g").roundsWithoutCapacity, b.jobs.At("g").unplacedSince = 3, at(5)
+		b.TryCompleteTakeover()
 		b.Preempt(at(10))
 		b.Preempt(at(10.5))
 		got := map[string]int{}
@@ -156,8 +156,8 @@
 		})
 		b.machine("m", "small", "a", task("x", 0, 1, model.TaskRunning, ""))
 		b.job("y", func(j *model.Job) { j.Team, j.Priority = c.team, model.Low })
-		b.TryComplete()
-		b.jobs.At("y").emptyRounds, b.jobs.At("y").unplacedSince = 3, at(10-c.waited)
+		b.TryCompleteTakeover()
+		b.jobs.At("y").roundsWithoutCapacity, b.jobs.At("y").unplacedSince = 3, at(10-c.waited)
 		b.Preempt(at(10))
 		if got := b.orders(peerspb.Op_OP_STOP); got != c.stops {
 			t.Errorf("%s: %d tasks stopped", c.name, got)
@@ -192,8 +192,8 @@
 			}
 			b.machine(name, "small", "a", tasks...)
 		}
-		b.TryComplete()
-		b.jobs.At("x").emptyRounds, b.jobs.At("x").unplacedSince = 3, at(0)
+		b.TryCompleteTakeover()
+		b.jobs.At("x").roundsWithoutCapacity, b.jobs.At("x").unplacedSince = 3, at(0)
 		b.Preempt(at(10))
 		reserved := 0.0
 		for _, m := range b.machines.All() {
--- a/internal/placement/queue.go
+++ b/internal/placement/queue.go
@@ -51,9 +51,9 @@
 	for _, job := range queue {
 		job.queueKey = queueKey{
 			priority:     job.queuePriority(),
-			guaranteed:   trueFirst(job.usage.team.WithinGuarantee(job.usage.size.Add(job.Spec.Size))),
-			served:       cs.leastServed(job, now),
-			due:          cs.dueTime(job, now, !job.usage.team.WithinLimit(job.usage.wanted)),
+			guaranteed:   sortTrueFirst(job.usage.team.WithinGuarantee(job.usage.size.Add(job.Spec.Size))),
+			served:       cs.recentUsagePerGuarantee(job, now),
+			due:          cs.dueTime(job, now, !job.usage.team.WithinLimit(job.usage.requested)),
 			waitsForSpot: cs.waitsForSpot(job, now),
 		}
 	}
@@ -101,11 +101,11 @@
 // sumRequested computes the total size that each team's jobs request.
 func (cs *ClusterState) sumRequested() {
 	for _, usage := range cs.teamUsages {
-		usage.wanted = model.Size{}
+		usage.requested = model.Size{}
 	}
 	for _, job := range cs.jobs.All() {
 		if !job.Cancelled && !job.SuspectedPoison() {
-			job.usage.wanted = job.usage.wanted.Add(job.Spec.Size.Times(job.Spec.Tasks - job.finished.Len()))
+			job.usage.requested = job.usage.requested.Add(job.Spec.Size.Times(job.Spec.Tasks - job.finished.Len()))
 		}
 	}
 }
@@ -131,15 +131,15 @@
 		return due
 	}
 	wait := defaultDueWithin
-	if limit := cs.wholeLimit(job).CPUs; limit > 0 && job.Spec.Shape != model.Service {
+	if limit := cs.configuredLimit(job).CPUs; limit > 0 && job.Spec.Shape != model.Service {
 		work := job.Spec.Size.CPUs * float64(job.Spec.Tasks-job.finished.Len()) * job.Spec.Estimate.Seconds()
 		wait += model.Seconds(cs.opt.ShortFirst * work / limit)
 	}
 	return job.Accepted.Add(wait)
 }
 
-// trueFirst returns a sort key that orders true before false.
-func trueFirst(first bool) int {
+// sortTrueFirst returns a sort key that orders true before false.
+func sortTrueFirst(first bool) int {
 	if first {
 		return 0
 	}
--- a/internal/placement/queue_test.go
+++ b/internal/placement/queue_test.go
@@ -51,7 +51,7 @@
 				c.change(j)
 			}
 		})
-		b.TryComplete()
+		b.TryCompleteTakeover()
 		demands := b.UnmetDemands(at(c.now))
 		if len(demands) != 1 || demands[0].SpotOnly != c.want {
 			t.Errorf("%s: unexpected demands: %+v", c.name, demands)
--- a/internal/placement/reserved_capacity.go
+++ b/internal/placement/reserved_capacity.go
@@ -27,7 +27,7 @@
 				machine.reserved.Delete(id)
 				cs.capacityEvents++ // see executePreemption
 			}
-		case reservation.class != "" && job.boosted: // warm headroom is kept for jobs that may arrive later
+		case reservation.class != "" && job.boostedInOverload: // warm headroom is kept for jobs that may arrive later
 		case own.precedes(reservation, now):
 			// Guard: when both jobs have capacity reserved here, a part of which is still held by a task
 			// that writes its checkpoint, each reservation kept the other job from the capacity that was
--- a/internal/placement/reserved_capacity_test.go
+++ b/internal/placement/reserved_capacity_test.go
@@ -17,7 +17,7 @@
 	}{{"one of two", 2, 1, 1}, {"both", 2, 2, 0}, {"none", 2, 0, 2}, {"more than capacity is reserved for", 1, 2, 0}} {
 		b := newBench(t)
 		b.machine("m", "big", "a")
-		b.TryComplete()
+		b.TryCompleteTakeover()
 		b.job("x", func(j *model.Job) { j.Tasks = 4 })
 		b.job("other", func(j *model.Job) { j.Class = "other" })
 		x, m := b.jobs.At("x"), b.machines.At("m")
@@ -50,7 +50,7 @@
 	} {
 		b := newBench(t)
 		b.machine("m", "big", "a")
-		b.TryComplete()
+		b.TryCompleteTakeover()
 		b.job("x", func(j *model.Job) { j.Class = "x" })
 		b.job("other", func(j *model.Job) { j.Class = "other" })
 		b.job("saves", func(j *model.Job) { j.Tasks = 64 })
--- a/internal/placement/round.go
+++ b/internal/placement/round.go
@@ -106,7 +106,7 @@
 func (cs *ClusterState) SampleRequests(now time.Time) []*peerspb.Want {
 	cs.roundPlan = nil
 	cs.expireMisdirected(now)
-	if !cs.complete || cs.orphanedTasks() > 0 {
+	if !cs.takeoverComplete || cs.orphanedTasks() > 0 {
 		return nil
 	}
 	cs.beginRoundCapacity()
@@ -117,7 +117,7 @@
 		planned := &plannedJob{
 			job:       job,
 			tasks:     job.pickTasks(share.Tasks),
-			fullScan:  job.emptyRounds >= cs.opt.ScanAfter,
+			fullScan:  job.roundsWithoutCapacity >= cs.opt.ScanAfter,
 			requestID: uint32(len(cs.roundPlan) + 1),
 		}
 		if len(planned.tasks) == 0 {
@@ -137,8 +137,8 @@
 		switch {
 		case tasks == 0, job.Spec.Shape == model.Gang && tasks < job.Unplaced(): // a gang starts whole or not at all
 			continue
-		case job.emptyRounds > cs.opt.ScanAfter && job.triedAtEvent == cs.capacityEvents && now.Sub(job.lastScan) < rescanAfter:
-			job.lastTurn = cs.roundNumber // no event since the last scan: another scan would only cost time
+		case job.roundsWithoutCapacity > cs.opt.ScanAfter && job.searchedAtEvent == cs.capacityEvents && now.Sub(job.lastEmptyRoundAt) < rescanAfter:
+			job.lastRoundConsidered = cs.roundNumber // no event since the last scan: another scan would only cost time
 			continue
 		case !cs.mayFit(job, now):
 			cs.recordNoCapacity(job, now)
@@ -147,7 +147,7 @@
 			tasks = 1
 		}
 		pending = append(pending, job)
-		candidates = append(candidates, fairqueue.Candidate{Tasks: tasks, Gang: job.Spec.Shape == model.Gang, LastTurn: job.lastTurn})
+		candidates = append(candidates, fairqueue.Candidate{Tasks: tasks, Gang: job.Spec.Shape == model.Gang, LastTurn: job.lastRoundConsidered})
 	}
 	return pending, candidates
 }
@@ -180,7 +180,7 @@
 	for _, sample := range samples {
 		byRequest[sample.Want] = append(byRequest[sample.Want], sample)
 	}
-	if cs.complete && !cs.claimsResumed {
+	if cs.takeoverComplete && !cs.claimsResumed {
 		cs.claimsResumed = true
 		cs.resumeClaims(now)
 	}
@@ -188,13 +188,13 @@
 	cs.noCapacity = map[capacityQuery]bool{}
 	for _, planned := range cs.roundPlan {
 		job := planned.job
-		if cs.jobs.At(job.Spec.ID) != job || job.Cancelled || !cs.complete {
+		if cs.jobs.At(job.Spec.ID) != job || job.Cancelled || !cs.takeoverComplete {
 			continue
 		}
 		placed := cs.placeJob(now, planned, byRequest[planned.requestID])
 		total += placed
 		if placed > 0 {
-			job.emptyRounds, job.unplacedSince, job.lastTurn = 0, time.Time{}, cs.roundNumber
+			job.roundsWithoutCapacity, job.unplacedSince, job.lastRoundConsidered = 0, time.Time{}, cs.roundNumber
 		} else {
 			cs.recordNoCapacity(job, now)
 		}
--- a/internal/placement/round_capacity.go
+++ b/internal/placement/round_capacity.go
@@ -102,8 +102,8 @@
 // recordNoCapacity records that a job was considered in this round and found no capacity, or would have found
 // none.
 func (cs *ClusterState) recordNoCapacity(j *Job, now time.Time) {
-	j.emptyRounds++
-	j.triedAtEvent, j.lastTurn, j.lastScan = cs.capacityEvents, cs.roundNumber, now
+	j.roundsWithoutCapacity++
+	j.searchedAtEvent, j.lastRoundConsidered, j.lastEmptyRoundAt = cs.capacityEvents, cs.roundNumber, now
 	if j.unplacedSince.IsZero() {
 		j.unplacedSince = now
 	}
@@ -119,7 +119,7 @@
 	if !now.After(job.reservedUntil) {
 		return true // capacity is reserved for it
 	}
-	view := capacityView{poolSet: job.poolSet, spot: job.Spec.Spot, priority: job.effectivePriority, boosted: job.boosted}
+	view := capacityView{poolSet: job.poolSet, spot: job.Spec.Spot, priority: job.effectivePriority, boosted: job.boostedInOverload}
 	if cs.classes.At(job.Spec.Class) != nil {
 		view.class = job.Spec.Class
 	}
--- a/internal/placement/round_capacity_test.go
+++ b/internal/placement/round_capacity_test.go
@@ -87,7 +87,7 @@
 	})
 	for s := range 4 {
 		b.capacityEvents++
-		b.TryComplete()
+		b.TryCompleteTakeover()
 		if requests := b.SampleRequests(at(float64(s))); len(requests) > 0 {
 			t.Fatalf("samples are requested for jobs without capacity: %v", requests)
 		}
@@ -99,11 +99,11 @@
 		}
 		return jobs
 	}
-	if x := b.jobs.At("x"); x.emptyRounds != 4 || x.unplacedSince != at(0) || fmt.Sprint(demands()) != "[x y]" {
-		t.Errorf("empty rounds %d, unplaced since %v, demands %v", x.emptyRounds, x.unplacedSince, demands())
+	if x := b.jobs.At("x"); x.roundsWithoutCapacity != 4 || x.unplacedSince != at(0) || fmt.Sprint(demands()) != "[x y]" {
+		t.Errorf("empty rounds %d, unplaced since %v, demands %v", x.roundsWithoutCapacity, x.unplacedSince, demands())
 	}
-	b.jobs.At("y").lastTurn, b.roundNumber = 1, maxRoundsUnconsidered+2
-	b.jobs.At("x").lastTurn = b.roundNumber
+	b.jobs.At("y").lastRoundConsidered, b.roundNumber = 1, maxRoundsUnconsidered+2
+	b.jobs.At("x").lastRoundConsidered = b.roundNumber
 	if got := fmt.Sprint(demands()); got != "[x]" {
 		t.Errorf("demands %s, want only that of the job that was considered", got)
 	}
@@ -126,7 +126,7 @@
 			for i := range machines {
 				b.machine(fmt.Sprintf("vm-%06d", i), "small", []string{"a", "b"}[i%2])
 			}
-			b.TryComplete()
+			b.TryCompleteTakeover()
 			tried := 0
 			t.ReportAllocs()
 			for t.Loop() {
--- a/internal/placement/round_test.go
+++ b/internal/placement/round_test.go
@@ -20,9 +20,9 @@
 			}
 		}},
 		{"a recall notice is withdrawn", func(m *Machine, on bool) {
-			m.Notice = -1
+			m.TerminationNotice = -1
 			if on {
-				m.Notice = 5
+				m.TerminationNotice = 5
 			}
 		}},
 		{"the orphaned tasks of a machine are gone", func(m *Machine, on bool) {
@@ -60,7 +60,7 @@
 		b.job("other", func(j *model.Job) { j.Tasks, j.Zone, j.Priority = 9, "b", model.Critical })
 		b.job("x", func(j *model.Job) { j.Class, j.Zone, j.Priority = "c", "a", p })
 		b.machine("m", "small", "a")
-		b.complete = true
+		b.takeoverComplete = true
 		b.machines.At("m").reserve("other", reservedCapacity{size: model.Size{CPUs: 4}, rank: 3, until: at(10)})
 		for s := 1.0; s < 9; s++ {
 			if b.round(s); b.machineOf("x", 0) != "" {
--- a/internal/placement/scale_in.go
+++ b/internal/placement/scale_in.go
@@ -16,7 +16,7 @@
 // It is an exception to the paper's rule for returning machines: placing on the machine with the lowest share in use
 // leaves every machine partly used and none idle.
 func (cs *ClusterState) Consolidate(now time.Time) {
-	if !cs.complete {
+	if !cs.takeoverComplete {
 		return
 	}
 	demanded, used := cs.cancelScaleInForDemand(now)
@@ -38,7 +38,7 @@
 			continue
 		}
 		capacity += size.CPUs
-		if !demanded[market{machine.Pool, machine.Spot}] && !machine.HoldsHeadroom() && now.Sub(machine.reopenedAt) >= uncordonAfter {
+		if !demanded[market{machine.Pool, machine.Spot}] && !machine.HoldsHeadroom() && now.Sub(machine.uncordonedAt) >= uncordonAfter {
 			candidates = append(candidates, machine)
 		}
 	}
@@ -130,7 +130,7 @@
 func (cs *ClusterState) machinesScalingIn() []*Machine {
 	var machines []*Machine
 	for _, machine := range cs.machines.All() {
-		if machine.ScaleIn && !machine.Cordoned && machine.drain == nil && machine.Phase == Current && machine.Notice < 0 {
+		if machine.ScaleIn && !machine.Cordoned && machine.drain == nil && machine.Phase == Current && machine.TerminationNotice < 0 {
 			machines = append(machines, machine)
 		}
 	}
--- a/internal/placement/scale_in_test.go
+++ b/internal/placement/scale_in_test.go
@@ -35,7 +35,7 @@
 			b.machine(fmt.Sprintf("m%02d", i), "small", "a", tasks...)
 		}
 		b.jobs.At("load").retryAt = at(100)
-		b.TryComplete()
+		b.TryCompleteTakeover()
 		b.Consolidate(at(1))
 		if c.pending != nil {
 			b.job("w", c.pending)
@@ -77,7 +77,7 @@
 		})
 		b.machine("m", "small", "a", task("x", 0, 1, model.TaskRunning, ""))
 		b.machines.At("m").Spot = c.spot
-		b.TryComplete()
+		b.TryCompleteTakeover()
 		b.Consolidate(at(1))
 		b.Consolidate(at(2))
 		if b.machines.At("m").ScaleIn != c.scaleIn || b.orders(peerspb.Op_OP_STOP) != c.stops {
--- a/internal/placement/scale_test.go
+++ b/internal/placement/scale_test.go
@@ -27,7 +27,7 @@
 		}
 		b.machine(fmt.Sprintf("vm-%06d", i), []string{"small", "big"}[i%2], []string{"a", "b"}[i/2%2], tasks...)
 	}
-	b.TryComplete()
+	b.TryCompleteTakeover()
 	return b
 }
 
@@ -137,7 +137,7 @@
 			t.ReportAllocs()
 			for t.Loop() {
 				b.ReconcileGangs(at(11))
-				b.Evacuate(at(11))
+				b.StopTasksOnLeavingMachines(at(11))
 				b.MaintainHeadroom(at(11))
 				b.Consolidate(at(11))
 				b.UnmetDemands(at(11))
--- a/internal/placement/snapshot.go
+++ b/internal/placement/snapshot.go
@@ -45,7 +45,7 @@
 
 	Lately map[string]accounting.Recent
 	Mark   accounting.Watermark
-	Heard  map[string]time.Time // lastAnswer
+	Heard  map[string]time.Time // lastResponse
 }
 
 // OwnerState is the snapshot of a pool and the member that owns it.
@@ -70,14 +70,14 @@
 	RetryAt  time.Time
 	Fails    int
 	FailedOn []string
-	Empty    int // emptyRounds
+	Empty    int // roundsWithoutCapacity
 
-	Tried   uint64    // triedAtEvent
-	Turn    uint64    // lastTurn
+	Tried   uint64    // searchedAtEvent
+	Turn    uint64    // lastRoundConsidered
 	Sought  uint64    // lastPreemptSearch
 	Waiting time.Time // unplacedSince
 	Cleared time.Time // preemptedAt
-	Looked  time.Time // lastScan
+	Looked  time.Time // lastEmptyRoundAt
 	SaveDue time.Time // writeDue
 	Kept    time.Time // reservedUntil
 
@@ -121,7 +121,7 @@
 	Cordoned bool
 	Retiring bool      // ScaleIn
 	Blamed   bool      // quarantined
-	Taken    time.Time // reopenedAt
+	Taken    time.Time // uncordonedAt
 
 	Notice   time.Duration
 	NoticeAt time.Time
--- a/internal/placement/snapshot_export.go
+++ b/internal/placement/snapshot_export.go
@@ -14,7 +14,7 @@
 func (cs *ClusterState) Export() (*State, error) {
 	state := &State{
 		Token:     cs.token,
-		Complete:  cs.complete,
+		Complete:  cs.takeoverComplete,
 		Split:     cs.splitParts,
 		Resumed:   cs.claimsResumed,
 		FewParts:  cs.maxPartsAccepted,
@@ -32,7 +32,7 @@
 		Use:       map[string]UseState{},
 		Urgencies: cs.inherited,
 		Mark:      cs.usageWatermark,
-		Heard:     cs.lastAnswer,
+		Heard:     cs.lastResponse,
 	}
 	if cs.ledger != nil {
 		state.Lately = cs.ledger.Export()
@@ -149,11 +149,11 @@
 		Again:           j.retryTasks,
 		RetryAt:         j.retryAt,
 		Fails:           j.failures,
-		Empty:           j.emptyRounds,
-		Tried:           j.triedAtEvent,
-		Turn:            j.lastTurn,
+		Empty:           j.roundsWithoutCapacity,
+		Tried:           j.searchedAtEvent,
+		Turn:            j.lastRoundConsidered,
 		Sought:          j.lastPreemptSearch,
-		Looked:          j.lastScan,
+		Looked:          j.lastEmptyRoundAt,
 		SaveDue:         j.writeDue,
 		SaveFirst:       j.writeHeadStart,
 		Waiting:         j.unplacedSince,
@@ -169,7 +169,7 @@
 		OrderPatient:    j.queueKey.waitsForSpot,
 		OrderNear:       j.queueKey.boostedSince,
 		OrderServed:     j.queueKey.served,
-		Hurried:         j.boosted,
+		Hurried:         j.boostedInOverload,
 		Unclaimed:       j.claimTooLarge,
 		Rank:            j.effectivePriority,
 		Within:          j.dueWithin,
@@ -205,8 +205,8 @@
 		Cordoned:  m.Cordoned,
 		Retiring:  m.ScaleIn,
 		Blamed:    m.quarantined,
-		Taken:     m.reopenedAt,
-		Notice:    m.Notice,
+		Taken:     m.uncordonedAt,
+		Notice:    m.TerminationNotice,
 		NoticeAt:  m.NoticeAt,
 		Seen:      m.FirstSeen,
 		Idle:      m.IdleSince,
--- a/internal/placement/snapshot_import.go
+++ b/internal/placement/snapshot_import.go
@@ -13,11 +13,11 @@
 // Import returns a cluster state that makes the same decisions as the exported one.
 func Import(opt Options, teams map[string]model.Team, state *State) (*ClusterState, error) {
 	cs := NewClusterState(opt, state.Token, teams, state.Types)
-	cs.complete, cs.splitParts, cs.maxPartsAccepted, cs.orderID = state.Complete, state.Split, state.FewParts, state.OrderID
+	cs.takeoverComplete, cs.splitParts, cs.maxPartsAccepted, cs.orderID = state.Complete, state.Split, state.FewParts, state.OrderID
 	cs.attempts, cs.writeCount, cs.capacityEvents, cs.inherited = state.Attempts, state.Saves, state.Room, state.Urgencies
 	cs.claimsResumed, cs.usageWatermark = state.Resumed, state.Mark
 	cs.roundNumber, cs.usableCPUs, cs.longWaitingGatherTime = state.Rounds, state.Capacity, state.Gathering
-	maps.Copy(cs.lastAnswer, state.Heard)
+	maps.Copy(cs.lastResponse, state.Heard)
 	maps.Copy(cs.terminated, state.Gone)
 	if cs.ledger != nil {
 		cs.ledger.Import(state.Lately)
@@ -162,18 +162,18 @@
 			},
 			effectivePriority: state.Rank,
 			dueWithin:         state.Within,
-			boosted:           state.Hurried,
+			boostedInOverload: state.Hurried,
 		},
 		searchState: searchState{
-			triedAtEvent:      state.Tried,
-			lastTurn:          state.Turn,
-			lastScan:          state.Looked,
-			unplacedSince:     state.Waiting,
-			lastPreemptSearch: state.Sought,
-			preemptedAt:       state.Cleared,
-			reservedUntil:     state.Kept,
+			searchedAtEvent:     state.Tried,
+			lastRoundConsidered: state.Turn,
+			lastEmptyRoundAt:    state.Looked,
+			unplacedSince:       state.Waiting,
+			lastPreemptSearch:   state.Sought,
+			preemptedAt:         state.Cleared,
+			reservedUntil:       state.Kept,
 		},
-		retryState: retryState{retryAt: state.RetryAt, failures: state.Fails, emptyRounds: state.Empty},
+		retryState: retryState{retryAt: state.RetryAt, failures: state.Fails, roundsWithoutCapacity: state.Empty},
 		writeState: writeState{
 			dirty:          state.Dirty,
 			writing:        state.Writing,
@@ -243,8 +243,8 @@
 		Cordoned:            state.Cordoned,
 		ScaleIn:             state.Retiring,
 		quarantined:         state.Blamed,
-		reopenedAt:          state.Taken,
-		Notice:              state.Notice,
+		uncordonedAt:        state.Taken,
+		TerminationNotice:   state.Notice,
 		NoticeAt:            state.NoticeAt,
 		FirstSeen:           state.Seen,
 		IdleSince:           state.Idle,
--- a/internal/placement/summary.go
+++ b/internal/placement/summary.go
@@ -6,29 +6,29 @@
 
 // Summary holds a few counts that describe the cluster, for logs and operators.
 type Summary struct {
-	Machines int
-	Busy     int // machines with tasks
-	Retiring int // scale-in candidates
-	Jobs     int
-	Bound    int // tasks that are bound to machines; they may not have started yet
-	Unplaced int // tasks that are neither bound nor finished
+	Machines  int
+	Busy      int // machines with tasks
+	ScalingIn int // scale-in candidates
+	Jobs      int
+	Bound     int // tasks that are bound to machines; they may not have started yet
+	Unplaced  int // tasks that are neither bound nor finished
 
-	Unseen    int     // machines that may run tasks and have not reported under this leader's token
-	Placeable int     // tasks of the unmet demand, including that of warm headroom
-	CPUs      float64 // total CPUs of the current machines
-	Used      float64 // CPUs of the bound tasks on them
+	Unseen     int     // machines that may run tasks and have not reported under this leader's token
+	UnmetTasks int     // tasks of the unmet demand, including that of warm headroom
+	CPUs       float64 // total CPUs of the current machines
+	Used       float64 // CPUs of the bound tasks on them
 }
 
-// Summary returns all counts. For Placeable it computes the queue.
+// Summary returns all counts. For UnmetTasks it computes the queue.
 func (cs *ClusterState) Summary(now time.Time) Summary {
 	summary := cs.Counts()
 	for _, demand := range cs.UnmetDemands(now) {
-		summary.Placeable += demand.Tasks
+		summary.UnmetTasks += demand.Tasks
 	}
 	return summary
 }
 
-// Counts returns all counts except Placeable, for which the queue would have to be computed.
+// Counts returns all counts except UnmetTasks, for which the queue would have to be computed.
 func (cs *ClusterState) Counts() Summary {
 	summary := Summary{Machines: cs.machines.Len(), Jobs: cs.jobs.Len()}
 	for _, machine := range cs.machines.All() {
@@ -39,7 +39,7 @@
 			continue
 		}
 		if machine.ScaleIn {
-			summary.Retiring++
+			summary.ScalingIn++
 		}
 		summary.CPUs += cs.types[machine.Pool.Type].Size.CPUs
 		summary.Used += machine.load.CPUs
--- a/internal/placement/suspicion_test.go
+++ b/internal/placement/suspicion_test.go
@@ -35,7 +35,7 @@
 		if !b.jobs.At("x").SuspectedPoison() {
 			t.Fatalf("%s: the job is not suspected", c.name)
 		}
-		b.TryComplete()
+		b.TryCompleteTakeover()
 		b.ReconcileGangs(at(11 + c.ran))
 		if b.round(11 + c.ran); (b.jobs.At("x").bound.Len() > 1) != c.next || b.jobs.At("x").SuspectedPoison() == c.next {
 			t.Errorf("%s: %d tasks bound, suspected %v", c.name, b.jobs.At("x").bound.Len(), b.jobs.At("x").SuspectedPoison())
--- a/internal/placement/takeover_test.go
+++ b/internal/placement/takeover_test.go
@@ -177,7 +177,7 @@
 
 	b := newBench(t)
 	b.opt.PartTasks = partTasks
-	if err := b.PutJob(at(3), "x", record, 20, write.Parts); err != nil {
+	if err := b.AddJob(at(3), "x", record, 20, write.Parts); err != nil {
 		t.Fatal(err)
 	}
 	var reported []*peerspb.Task
--- a/internal/placement/teams.go
+++ b/internal/placement/teams.go
@@ -7,10 +7,10 @@
 // teamUsage is the total size of a team's bound tasks. It is updated whenever a task is bound or released. Computing the
 // sum for each job of a long queue took a large part of a round's time.
 type teamUsage struct {
-	team   model.Team
-	size   model.Size
-	tasks  int
-	wanted model.Size // by all jobs of the team when the queue was last computed
+	team      model.Team
+	size      model.Size
+	tasks     int
+	requested model.Size // by all jobs of the team when the queue was last computed
 }
 
 // add adds a newly bound task.
--- a/internal/placement/uncordon.go
+++ b/internal/placement/uncordon.go
@@ -93,7 +93,7 @@
 // compareForUncordon orders machines that are not quarantined before quarantined ones, and then by price.
 func (cs *ClusterState) compareForUncordon(x, y *Machine) int {
 	return cmp.Or(
-		cmp.Compare(trueFirst(!x.quarantined), trueFirst(!y.quarantined)),
+		cmp.Compare(sortTrueFirst(!x.quarantined), sortTrueFirst(!y.quarantined)),
 		cmp.Compare(cs.price(x), cs.price(y)),
 	)
 }
@@ -141,7 +141,7 @@
 
 // uncordon lets tasks be started on a machine again.
 func (cs *ClusterState) uncordon(m *Machine, now time.Time) {
-	m.ScaleIn, m.reopenedAt = false, now
+	m.ScaleIn, m.uncordonedAt = false, now
 	if m.quarantined {
 		m.Cordoned, m.quarantined, m.failures = false, false, nil
 	}
--- a/internal/placement/uncordon_test.go
+++ b/internal/placement/uncordon_test.go
@@ -66,7 +66,7 @@
 				c.job(j)
 			}
 		})
-		b.TryComplete()
+		b.TryCompleteTakeover()
 		c.withhold(b)
 		now := 0.0
 		for ; now < 100 && b.jobs.At("x").bound.Len() < b.jobs.At("x").Spec.Tasks; now++ {
--- a/internal/placement/unmet_demand.go
+++ b/internal/placement/unmet_demand.go
@@ -42,7 +42,7 @@
 	if objective.Wait > 0 {
 		consider(objective.Wait*8/10 + job.Spec.Estimate)
 	}
-	limit := cs.wholeLimit(job)
+	limit := cs.configuredLimit(job)
 	switch {
 	case horizon == 0:
 		return cs.opt.Horizon
@@ -75,7 +75,7 @@
 	queue := append(cs.queue(now), cs.upcoming...)
 	capacity := cs.newFreeCapacity(now, queue)
 	for _, job := range queue {
-		if job.SuspectedPoison() || cs.roundNumber-job.lastTurn > maxRoundsUnconsidered {
+		if job.SuspectedPoison() || cs.roundNumber-job.lastRoundConsidered > maxRoundsUnconsidered {
 			continue
 		}
 		tasks := cs.tasksWithinLimitAfter(job, requested[job.Spec.Team])
@@ -115,7 +115,7 @@
 		// Requested machines should be in the same zone as the present capacity for the job.
 		demand.Pools = slices.Clone(demand.Pools)
 		slices.SortStableFunc(demand.Pools, func(x, y model.Pool) int {
-			return cmp.Compare(trueFirst(x.Zone == zone), trueFirst(y.Zone == zone))
+			return cmp.Compare(sortTrueFirst(x.Zone == zone), sortTrueFirst(y.Zone == zone))
 		})
 	}
 	demand.Tasks = capacity.allocate(job, zone, tasks)
@@ -144,6 +144,6 @@
 	}
 }
 
-// HeldForGang reports whether UnmetDemands, called with the same time, holds the machine for a gang for which more
-// machines are requested.
-func (m *Machine) HeldForGang(now time.Time) bool { return m.heldForGangAt.Equal(now) }
+// HeldForPendingGang reports whether UnmetDemands, called with the same time, holds the machine for a gang for which
+// more machines are requested.
+func (m *Machine) HeldForPendingGang(now time.Time) bool { return m.heldForGangAt.Equal(now) }
--- a/internal/placement/unmet_demand_test.go
+++ b/internal/placement/unmet_demand_test.go
@@ -37,7 +37,7 @@
 		b.opt.Horizon = 45 * time.Second
 		b.machine("m1", "small", "a")
 		b.machine("m2", "small", "b")
-		b.TryComplete()
+		b.TryCompleteTakeover()
 		b.job("x", c.job)
 		if c.prepare != nil {
 			c.prepare(b)
@@ -74,7 +74,7 @@
 		}
 		b.machine("here", "big", "a", on...)
 		b.machines.At("here").load = b.machines.At("here").load.Add(model.Size{CPUs: 16}) // eight fit
-		b.complete = true
+		b.takeoverComplete = true
 		got := map[string]int{}
 		for _, n := range b.UnmetDemands(at(1)) {
 			for _, k := range n.Pools {
@@ -114,7 +114,7 @@
 				c.change(j)
 			}
 		})
-		b.TryComplete()
+		b.TryCompleteTakeover()
 		if demands := b.UnmetDemands(at(c.now)); len(demands) != 1 || demands[0].Horizon != c.want {
 			t.Errorf("%s: want one demand with the horizon of this case, got %+v", c.name, demands)
 		}
@@ -137,7 +137,7 @@
 		for i := range c.jobs {
 			b.job(fmt.Sprintf("x%02d", i), func(j *model.Job) { j.Team, j.Tasks, j.Estimate = c.team, 10, time.Hour })
 		}
-		b.TryComplete()
+		b.TryCompleteTakeover()
 		got := 0
 		for _, demand := range b.UnmetDemands(at(1)) {
 			got += demand.Tasks
@@ -168,13 +168,13 @@
 		for _, name := range []string{"m1", "m2"} {
 			b.machine(name, "small", "a") // capacity for two tasks each
 		}
-		b.TryComplete()
+		b.TryCompleteTakeover()
 		b.job("x", func(j *model.Job) { j.Shape, j.Tasks = c.shape, c.tasks })
 		b.UnmetDemands(at(c.at))
-		if got := b.machines.At("m1").HeldForGang(at(c.at)); got != c.held {
+		if got := b.machines.At("m1").HeldForPendingGang(at(c.at)); got != c.held {
 			t.Errorf("%s: machine held for the gang: %v", c.name, got)
 		}
-		if b.machines.At("m1").HeldForGang(at(c.at + 1)) {
+		if b.machines.At("m1").HeldForPendingGang(at(c.at + 1)) {
 			t.Errorf("%s: machine held for the gang at a later time as well", c.name)
 		}
 	}
--- a/internal/placement/upcoming_jobs.go
+++ b/internal/placement/upcoming_jobs.go
@@ -12,9 +12,9 @@
 	DependsOn []string
 }
 
-// ExpectJobs replaces the jobs that are about to be released. Machines are requested and kept for the jobs whose
+// SetUpcomingJobs replaces the jobs that are about to be released. Machines are requested and kept for the jobs whose
 // release is expected within the boot time of a machine. These jobs are not in the queue.
-func (cs *ClusterState) ExpectJobs(upcoming []UpcomingJob, now time.Time) {
+func (cs *ClusterState) SetUpcomingJobs(upcoming []UpcomingJob, now time.Time) {
 	cs.upcoming = cs.upcoming[:0]
 	for _, expected := range upcoming {
 		job := &Job{
@@ -23,9 +23,9 @@
 			usage:       cs.usageOf(expected.Spec.Team),
 			finished:    model.NewTaskSet(0),
 			queueState:  queueState{effectivePriority: expected.Spec.Priority.Rank()},
-			searchState: searchState{lastTurn: cs.roundNumber},
+			searchState: searchState{lastRoundConsidered: cs.roundNumber},
 		}
-		bootTime := cs.boot(job)
+		bootTime := cs.maxBootTime(job)
 		soon := true
 		for _, id := range expected.DependsOn {
 			soon = soon && cs.endsWithin(cs.jobs.At(id), bootTime, now)
--- a/internal/placement/usage.go
+++ b/internal/placement/usage.go
@@ -35,14 +35,14 @@
 	return cs.ledger
 }
 
-// UsageMark returns the watermark of the accounting: the time and the last attempt up to which usage has been counted.
-// The next leader continues from there.
-func (cs *ClusterState) UsageMark(now time.Time) accounting.Watermark {
+// UsageWatermark returns the watermark of the accounting: the time and the last attempt up to which usage has been
+// counted. The next leader continues from there.
+func (cs *ClusterState) UsageWatermark(now time.Time) accounting.Watermark {
 	return accounting.Watermark{AtMS: now.UnixMilli(), Attempt: cs.token<<20 + cs.attempts}
 }
 
-// LoadUsage restores the usage watermark that an earlier leader stored.
-func (cs *ClusterState) LoadUsage(text []byte) {
+// LoadUsageWatermark restores the usage watermark that an earlier leader stored.
+func (cs *ClusterState) LoadUsageWatermark(text []byte) {
 	var watermark accounting.Watermark
 	if len(text) == 0 || cs.ledger == nil {
 		return
@@ -66,7 +66,7 @@
 	if cs.ledger == nil || task.machine.MissedHeartbeats || task.machine.StartOutcomeUnknown || task.machine.Phase != Current {
 		return
 	}
-	until = earlier(until, cs.lastAnswer[cs.owners[task.machine.Pool]])
+	until = earlier(until, cs.lastResponse[cs.owners[task.machine.Pool]])
 	from := task.accountedUntil
 	if until.Before(from) {
 		return
@@ -161,9 +161,9 @@
 	cs.addUsage(task, accounting.Wasted, wasted, now)
 }
 
-// leastServed returns the recent usage of a job's team in CPU seconds, per CPU of the team's guarantee. It returns 0 if
-// usage is not accounted or ties in the queue are not broken by it.
-func (cs *ClusterState) leastServed(job *Job, now time.Time) float64 {
+// recentUsagePerGuarantee returns the recent usage of a job's team in CPU seconds, per CPU of the team's guarantee. It
+// returns 0 if usage is not accounted or ties in the queue are not broken by it.
+func (cs *ClusterState) recentUsagePerGuarantee(job *Job, now time.Time) float64 {
 	if cs.ledger == nil || !cs.opt.FairTies {
 		return 0
 	}
--- a/internal/placement/usage_test.go
+++ b/internal/placement/usage_test.go
@@ -24,7 +24,7 @@
 		b.job("j", nil)
 		run := func() float64 { return b.ledger.Team("free")[accounting.Run].CPUSeconds() }
 		reportMachine := func(s float64, unsure bool, tasks ...*peerspb.Task) {
-			b.MemberAnswered("n0", at(s))
+			b.RecordMemberResponse("n0", at(s))
 			b.UpdateMachine(at(s), "n0", &peerspb.Machine{Name: "m", Kind: &peerspb.Kind{Type: "small", Zone: "a"}, Phase: "current", NoticeMs: -1,
 				Unsure: unsure, Tasks: tasks}, 0, false)
 			b.Usage(at(s))
@@ -72,7 +72,7 @@
 		b.startAccounting()
 		b.usageWatermark = accounting.Watermark{AtMS: at(10).UnixMilli(), Attempt: 4<<20 + 5}
 		b.job("j", func(j *model.Job) { j.Shape = c.shape })
-		b.MemberAnswered("n0", at(60))
+		b.RecordMemberResponse("n0", at(60))
 		b.UpdateMachine(at(60), "n0", &peerspb.Machine{Name: "m", Kind: &peerspb.Kind{Type: "small", Zone: "a"}, Phase: "current", NoticeMs: -1,
 			Tasks: []*peerspb.Task{task("j", 0, c.attempt, model.TaskRunning, "")}}, 0, false)
 		b.Usage(at(60))
--- a/internal/placement/warm_headroom.go
+++ b/internal/placement/warm_headroom.go
@@ -63,10 +63,10 @@
 			machine.reserved.Delete(name)
 		}
 		class.arrivals = slices.DeleteFunc(class.arrivals, func(a arrival) bool { return now.Sub(a.at) >= rateWindow })
-		if len(class.arrivals) == 0 || !cs.complete {
+		if len(class.arrivals) == 0 || !cs.takeoverComplete {
 			continue
 		}
-		boot := cs.boot(class.lastJob)
+		boot := cs.maxBootTime(class.lastJob)
 		if cs.opt.Aims[name].Wait >= boot {
 			continue
 		}
@@ -118,8 +118,8 @@
 	return demands
 }
 
-// boot returns the boot time of the slowest machine type that a job may run on.
-func (cs *ClusterState) boot(j *Job) time.Duration {
+// maxBootTime returns the boot time of the slowest machine type that a job may run on.
+func (cs *ClusterState) maxBootTime(j *Job) time.Duration {
 	var boot time.Duration
 	for _, pool := range cs.poolsFor(j) {
 		boot = max(boot, cs.types[pool.Type].Boot)
--- a/internal/placement/warm_headroom_test.go
+++ b/internal/placement/warm_headroom_test.go
@@ -23,7 +23,7 @@
 	urgent := func(j *model.Job) { j.Class, j.Size, j.Priority = "urgent", model.Size{CPUs: 3}, model.High }
 	b.job("u0", urgent)
 	b.Cancel("u0")
-	b.TryComplete()
+	b.TryCompleteTakeover()
 	b.MaintainHeadroom(at(1))
 	b.job("x", func(j *model.Job) { j.Tasks = 4 })
 	if got := b.round(1); got != 2 {
--- a/internal/replay/day.go
+++ b/internal/replay/day.go
@@ -164,7 +164,7 @@
 }
 
 // job adds a job that has a record; the first record counts.
-func (d *Day) job(key string, r placement.Record) {
+func (d *Day) job(key string, r placement.JobRecord) {
 	if d.Jobs.At(r.Job.ID) != nil {
 		return
 	}
@@ -224,7 +224,7 @@
 
 // record adds the job of a stored record, if it is one.
 func (d *Day) record(it *recordpb.Item) {
-	var r placement.Record
+	var r placement.JobRecord
 	if json.Unmarshal(it.Value, &r) == nil && r.Job != nil {
 		d.job(it.Key, r)
 	}
--- a/internal/replay/environment.go
+++ b/internal/replay/environment.go
@@ -156,7 +156,7 @@
 		for _, key := range []string{placement.JobPrefix + seen.Spec.ID, placement.WaitPrefix + seen.Spec.ID} {
 			if _, err := w.store.Get(key); err == nil {
 				_, _ = w.store.Txn(store.Txn{Writes: []store.Write{store.Delete(key),
-					store.Put(placement.DonePrefix+seen.Spec.ID, placement.Final{Stage: model.Cancelled, Tasks: seen.Spec.Tasks})}})
+					store.Put(placement.DonePrefix+seen.Spec.ID, placement.FinalJobRecord{Stage: model.Cancelled, Tasks: seen.Spec.Tasks})}})
 			}
 		}
 	})
--- a/internal/replay/whatif_test.go
+++ b/internal/replay/whatif_test.go
@@ -66,7 +66,7 @@
 		if len(j.Needs) > 0 {
 			key = placement.WaitPrefix + j.ID
 		}
-		d.job(key, placement.Record{Job: j, AcceptedMS: d.Begin.Add(at).UnixMilli()})
+		d.job(key, placement.JobRecord{Job: j, AcceptedMS: d.Begin.Add(at).UnixMilli()})
 		if i%17 == 16 {
 			d.Jobs.At(j.ID).Cancelled = at + 10*time.Second
 		}
--- a/internal/scheduler/apply.go
+++ b/internal/scheduler/apply.go
@@ -142,7 +142,7 @@
 		s.cluster.SplitParts()
 	}
 	s.cluster.OrdersAcknowledged(answer.Member, answer.Applied)
-	s.cluster.MemberAnswered(answer.Member, now)
+	s.cluster.RecordMemberResponse(answer.Member, now)
 	for _, status := range answer.Machines {
 		s.autoscaler.MachineUp(status.Name)
 		s.cluster.UpdateMachine(now, answer.Member, status, answer.Applied, answer.Trusted)
@@ -166,7 +166,7 @@
 // applyPlace ends a sampling round: it completes the takeover if that is possible, places
 // tasks, and preempts tasks.
 func (s *Scheduler) applyPlace(now time.Time, event *recordpb.Place) (placed int, takeoverCompleted bool) {
-	takeoverCompleted = !s.cluster.Complete() && s.cluster.TryComplete()
+	takeoverCompleted = !s.cluster.TakeoverComplete() && s.cluster.TryCompleteTakeover()
 	s.noteDecision(func(d *recordpb.Decided) { d.Complete = takeoverCompleted })
 	placed = s.cluster.Place(now, event.Samples)
 	s.cluster.Preempt(now)
@@ -195,7 +195,7 @@
 }
 
 func (s *Scheduler) applyUsage(now time.Time) (*accounting.Ledger, accounting.Watermark) {
-	return s.cluster.Usage(now), s.cluster.UsageMark(now)
+	return s.cluster.Usage(now), s.cluster.UsageWatermark(now)
 }
 
 // isOpen reports whether the cluster state holds the job and it is not cancelled.
--- a/internal/scheduler/explain.go
+++ b/internal/scheduler/explain.go
@@ -27,7 +27,7 @@
 	return out
 }
 
-func explainWaiting(record placement.Record, unmet []string, now time.Time) *operatorspb.ExplainResponse {
+func explainWaiting(record placement.JobRecord, unmet []string, now time.Time) *operatorspb.ExplainResponse {
 	reason := &operatorspb.Reason{
 		Code:  placement.CodeDependencies,
 		Text:  "needs jobs that are not done: " + strings.Join(unmet, ", "),
--- a/internal/scheduler/operators.go
+++ b/internal/scheduler/operators.go
@@ -29,13 +29,13 @@
 		}
 	}
 	slices.SortFunc(rows, func(x, y *operatorspb.Job) int { return cmp.Compare(x.Id, y.Id) })
-	if len(rows) > placement.PageRows {
-		rows, more = rows[:placement.PageRows], true
+	if len(rows) > placement.PageSize {
+		rows, more = rows[:placement.PageSize], true
 	}
 	return rows, more
 }
 
-func waitingJobRow(record placement.Record, now time.Time) *operatorspb.Job {
+func waitingJobRow(record placement.JobRecord, now time.Time) *operatorspb.Job {
 	spec := record.Job
 	accepted := time.UnixMilli(record.AcceptedMS)
 	row := &operatorspb.Job{
@@ -80,7 +80,7 @@
 
 // DrainCheck returns how many machines a drain would cover, and the jobs for whose tasks it
 // would leave too little capacity. It does not start the drain.
-func (s *Scheduler) DrainCheck(now time.Time, drain *placement.Drain) (covered int, misfits []placement.Misfit) {
+func (s *Scheduler) DrainCheck(now time.Time, drain *placement.Drain) (covered int, unplaceable []placement.UnplaceableJob) {
 	moment := s.schedulerTime(now)
 	canLaunch := func(pool model.Pool, spot bool) bool { return s.autoscaler.CanLaunch(pool, spot, moment) }
 	return s.cluster.DrainCheck(drain, moment, canLaunch)
@@ -91,7 +91,7 @@
 func (s *Scheduler) Status(now time.Time) *operatorspb.StatusResponse {
 	counts := s.cluster.Counts()
 	return &operatorspb.StatusResponse{
-		Complete: s.cluster.Complete(),
+		Complete: s.cluster.TakeoverComplete(),
 		Machines: uint32(counts.Machines),
 		Booting:  uint32(s.autoscaler.Booting()),
 		Unseen:   uint32(counts.Unseen),
--- a/internal/scheduler/queries.go
+++ b/internal/scheduler/queries.go
@@ -20,7 +20,7 @@
 
 // Complete reports whether the takeover is complete, that is, whether the cluster state
 // contains every task that may be running on any machine.
-func (s *Scheduler) Complete() bool { return s.cluster.Complete() }
+func (s *Scheduler) Complete() bool { return s.cluster.TakeoverComplete() }
 
 // Machines returns the machines by name. The caller must not change them.
 func (s *Scheduler) Machines() *model.Table[string, *placement.Machine] { return s.cluster.Machines() }
@@ -55,7 +55,7 @@
 
 // Demands returns the resources that each team uses and waits for. It reports false if they
 // are not known: the takeover is not complete, or orphaned tasks run, whose teams are unknown.
-func (s *Scheduler) Demands() (map[string]placement.TeamDemand, bool) { return s.cluster.Demands() }
+func (s *Scheduler) Demands() (map[string]placement.TeamDemand, bool) { return s.cluster.TeamDemands() }
 
 // SilentPools reports, for each pool with a silent machine, whether the owner has received no
 // heartbeat for longer than late from at least half of the machines that may be alive.
@@ -73,7 +73,7 @@
 // ordered before the drain and whose outcome is unknown, and machines that have not answered
 // under the current fencing token.
 func (s *Scheduler) UnresolvedStarts(target string) (starts, machines int) {
-	return s.cluster.Undecided(target)
+	return s.cluster.UnresolvedStarts(target)
 }
 
 // Thrash returns how many machines were terminated without ever having had a task, and how
@@ -91,6 +91,6 @@
 
 // Records returns the records of the open jobs and of the waiting jobs, as they would be
 // written now.
-func (s *Scheduler) Records() (open, waiting []placement.Record) {
+func (s *Scheduler) Records() (open, waiting []placement.JobRecord) {
 	return s.cluster.Records(), s.graph.Records()
 }
--- a/internal/scheduler/records.go
+++ b/internal/scheduler/records.go
@@ -29,7 +29,7 @@
 		s.applyJobRecord(now, item, bitmapShards)
 	}
 	s.applyDrains(now, loaded.Drains)
-	s.cluster.LoadUsage(loaded.Usage)
+	s.cluster.LoadUsageWatermark(loaded.Usage)
 }
 
 // loadMachines adds the machines that have a record. A machine with an unreadable record is
@@ -86,14 +86,14 @@
 // read before open records, and a job only moves from waiting to open, so none is missed.
 func (s *Scheduler) applyJobRecord(now time.Time, item *recordpb.Item, bitmapShards map[string]map[string]string) {
 	if id, waits := strings.CutPrefix(item.Key, placement.WaitPrefix); waits {
-		var record placement.Record
+		var record placement.JobRecord
 		if err := json.Unmarshal(item.Value, &record); err != nil || record.Job == nil || record.Job.ID != id {
 			s.log.Error("waiting job record unreadable", "job", id, "err", err)
 			return
 		}
 		s.graph.Put(record, item.Stamp)
 	} else if id, open := strings.CutPrefix(item.Key, placement.JobPrefix); open {
-		if err := s.cluster.PutJob(now, id, item.Value, item.Stamp, bitmapShards[id]); err != nil {
+		if err := s.cluster.AddJob(now, id, item.Value, item.Stamp, bitmapShards[id]); err != nil {
 			s.log.Error("job record unreadable", "err", err)
 		}
 		s.graph.Remove(id) // it was released
@@ -183,7 +183,7 @@
 		s.cluster.JobFinished(write.ID)
 	}
 	if current := done.Fresh; current != nil {
-		if err := s.cluster.PutJob(now, write.ID, current.Value, current.Stamp, nil); err != nil {
+		if err := s.cluster.AddJob(now, write.ID, current.Value, current.Stamp, nil); err != nil {
 			s.log.Error("job record unreadable", "err", err)
 		}
 	}
--- a/internal/scheduler/scaling.go
+++ b/internal/scheduler/scaling.go
@@ -12,12 +12,12 @@
 // and terminations that the autoscaler decides on. It cordons the machines to terminate.
 func (s *Scheduler) applyPlan(now time.Time) []autoscaler.Action {
 	s.cluster.ReconcileGangs(now)
-	s.cluster.Evacuate(now)
+	s.cluster.StopTasksOnLeavingMachines(now)
 	s.cluster.MaintainHeadroom(now)
 	s.cluster.Consolidate(now)
 	s.quarantineFaultyMachines()
-	s.cluster.ExpectJobs(s.graph.Upcoming(), now)
-	actions := s.autoscaler.Tick(now, s.cluster.UnmetDemands(now), s.cluster.Machines(), s.types, s.cluster.Complete())
+	s.cluster.SetUpcomingJobs(s.graph.Upcoming(), now)
+	actions := s.autoscaler.Tick(now, s.cluster.UnmetDemands(now), s.cluster.Machines(), s.types, s.cluster.TakeoverComplete())
 	s.cordonTerminating(actions)
 	return actions
 }
@@ -80,7 +80,7 @@
 // are gone, as soon as a running machine would have sent a heartbeat: an agent sends one on
 // its own within that time, and is also probed.
 func (s *Scheduler) missingAfter() time.Duration {
-	if !s.cluster.Complete() && s.config.Greeted > 0 {
+	if !s.cluster.TakeoverComplete() && s.config.Greeted > 0 {
 		return s.config.Greeted
 	}
 	return s.config.Unheard
