--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -32,14 +32,14 @@
 
 // checkOutcome reads how a job ended. It runs outside the loop.
 func (t *leaderTerm) checkOutcome(id string) {
-	var final placement.Final
+	var final placement.FinalJobRecord
 	item, err := t.ctrl.store.Get(t.ctx, placement.DonePrefix+id)
 	if err == nil {
 		err = json.Unmarshal(item.Value, &final)
 	}
 	t.ctrl.post(func() {
 		if t.ctx.Err() == nil {
-			t.scheduler.JobEnded(t.ctrl.env.Now(), id, err == nil, final.Stage)
+			t.scheduler.DependencyOutcomeRead(t.ctrl.env.Now(), id, err == nil, final.Stage)
 		}
 	})
 }
@@ -60,7 +60,7 @@
 		if t.ctx.Err() != nil {
 			return
 		}
-		t.scheduler.JobMoved(t.ctrl.env.Now(), action, ok, revision, gone)
+		t.scheduler.DependencyActionDone(t.ctrl.env.Now(), action, ok, revision, gone)
 		if gone {
 			t.nextCheck = time.Time{}
 		}
--- a/internal/controller/leader_term.go
+++ b/internal/controller/leader_term.go
@@ -132,7 +132,7 @@
 
 // expireMachines has the scheduler give up machines whose leases have expired.
 func (t *leaderTerm) expireMachines(now time.Time) {
-	if names := t.scheduler.Expire(now, t.ctrl.elector.LastCheck()); len(names) > 0 {
+	if names := t.scheduler.ConfirmExpiries(now, t.ctrl.elector.LastCheck()); len(names) > 0 {
 		t.ctrl.log.Info("machines expired", "count", len(names), "machines", names)
 	}
 }
@@ -155,7 +155,7 @@
 	t.nextSummary = now.Add(summaryInterval)
 	s := t.scheduler.Summary(now)
 	t.ctrl.log.Info("cluster",
-		"machines", s.Machines, "booting", t.scheduler.Booting(), "busy", s.Busy, "retiring", s.Retiring,
+		"machines", s.Machines, "booting", t.scheduler.Booting(), "busy", s.Busy, "retiring", s.ScalingIn,
 		"cpus", s.CPUs, "used", s.Used, "jobs", s.Jobs, "waiting", t.scheduler.WaitingJobs(),
-		"bound", s.Bound, "unplaced", s.Unplaced, "placeable", s.Placeable, "saving", t.scheduler.WritesInFlight())
+		"bound", s.Bound, "unplaced", s.Unplaced, "placeable", s.UnmetTasks, "saving", t.scheduler.WritesInFlight())
 }
--- a/internal/controller/queries.go
+++ b/internal/controller/queries.go
@@ -25,7 +25,7 @@
 
 // handleNodes answers with a page of the machines.
 func (t *leaderTerm) handleNodes(now time.Time, request *operatorspb.NodesRequest, reply operatorReply) {
-	rows, more := t.scheduler.NodeRows(now, request.After)
+	rows, more := t.scheduler.MachineRows(now, request.After)
 	reply(&operatorspb.Reply{What: &operatorspb.Reply_Nodes{Nodes: &operatorspb.NodesResponse{Rows: rows, More: more}}}, nil)
 }
 
@@ -125,7 +125,7 @@
 		return
 	}
 	t.ctrl.env.Go(func() {
-		var final placement.Final
+		var final placement.FinalJobRecord
 		item, err := t.ctrl.store.Get(t.ctx, placement.DonePrefix+id)
 		if err == nil {
 			err = json.Unmarshal(item.Value, &final)
--- a/internal/controller/sizes_test.go
+++ b/internal/controller/sizes_test.go
@@ -39,17 +39,17 @@
 	const jobs = 3000
 	for i := range jobs {
 		id := fmt.Sprintf("req-%06d", i)
-		v, err := json.Marshal(placement.Record{Job: &model.Job{ID: id, Team: "t", Shape: model.Array, Priority: model.Normal, Tasks: 1,
+		v, err := json.Marshal(placement.JobRecord{Job: &model.Job{ID: id, Team: "t", Shape: model.Array, Priority: model.Normal, Tasks: 1,
 			Size: model.Size{CPUs: 2, MemoryGB: 2}, Image: "i"}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		term.scheduler.Change(now, []store.Event{{Set: placement.JobPrefix + id, Value: v, Revision: uint64(20 + 2*i)}})
+		term.scheduler.ApplyJobChanges(now, []store.Event{{Set: placement.JobPrefix + id, Value: v, Revision: uint64(20 + 2*i)}})
 		send(i%3 == 0, &peerspb.Order{Job: id})
 		if !owner[id] || !owner["j"] {
 			t.Fatalf("after %d jobs the owner knows %v", i, owner)
 		}
-		term.scheduler.Change(now, []store.Event{{Delete: placement.JobPrefix + id, Revision: uint64(21 + 2*i)}})
+		term.scheduler.ApplyJobChanges(now, []store.Event{{Delete: placement.JobPrefix + id, Revision: uint64(21 + 2*i)}})
 		send(i%3 == 1)
 	}
 	send(false)
--- a/internal/placement/blockers_test.go
+++ b/internal/placement/blockers_test.go
@@ -10,13 +10,13 @@
 // be preempted come first.
 func TestBlockersListsTasksThatHoldCapacity(t *testing.T) {
 	b := newBench(t)
-	for id, p := range map[string]model.Priority{"low": model.Low, "same": model.High, "above": model.Production} {
+	for id, p := range map[string]model.Priority{"low": model.Low, "same": model.High, "above": model.Critical} {
 		b.job(id, func(j *model.Job) { j.Priority, j.Size.CPUs = p, 4 })
 		b.machine("m-"+id, "small", "a", task(id, 0, 1, model.TaskRunning, ""))
 	}
 	b.machine("free", "small", "a")
 	b.job("x", func(j *model.Job) { j.Tasks, j.Shape, j.Size.CPUs, j.Priority = 2, model.Gang, 4, model.High })
-	b.complete = true
+	b.takeoverComplete = true
 	out := b.Blockers("x", at(2))
 	if out.Pieces != 2 || out.Placed != 1 || len(out.Holders) != 3 {
 		t.Fatalf("got %v, want 2 members, 1 placeable, 3 blocking tasks", out)
--- a/internal/placement/deadline_boost.go
+++ b/internal/placement/deadline_boost.go
@@ -17,16 +17,16 @@
 }
 
 // deadlineFacts returns the facts on which a job's deadline boost depends.
-func (cs *ClusterState) deadlineFacts(job *Job) deadline.Facts {
-	facts := deadline.Facts{
-		Accepted:         job.Accepted,
-		TasksToStart:     cs.tasksToStart(job),
-		TaskCPUs:         job.Spec.Size.CPUs,
-		TaskRuntime:      job.Spec.Estimate,
-		CapacityCPUs:     cs.usableCPUs,
-		OthersGatherTime: cs.gatheringTime,
+func (cs *ClusterState) deadlineFacts(job *Job) deadline.JobFacts {
+	facts := deadline.JobFacts{
+		Accepted:              job.Accepted,
+		TasksToStart:          cs.tasksToStart(job),
+		TaskCPUs:              job.Spec.Size.CPUs,
+		TaskRuntime:           job.Spec.Estimate,
+		CapacityCPUs:          cs.usableCPUs,
+		LongWaitingGatherTime: cs.longWaitingGatherTime,
 	}
-	if limit := cs.wholeLimit(job).CPUs; limit > 0 && limit < facts.CapacityCPUs {
+	if limit := cs.configuredLimit(job).CPUs; limit > 0 && limit < facts.CapacityCPUs {
 		facts.CapacityCPUs = limit
 	}
 	for _, pool := range cs.poolsFor(job) {
@@ -47,14 +47,14 @@
 // changed later decisions, and a replay of the recording, which contains no queries, decided differently.
 func (cs *ClusterState) boostDeadlines(pending []*Job, now time.Time) {
 	rule, others := cs.deadlineRule(), time.Duration(0)
-	overloaded := cs.gatheringTime > rule.BeginWithin/4
+	overloaded := cs.longWaitingGatherTime > rule.BeginWithin/4
 	for _, job := range pending {
 		job.queueKey.boostedSince = time.Time{}
 		if now.Sub(job.Accepted) < rule.BeginWithin/4 || job.SuspectedPoison() {
 			continue // this holds for most jobs, and is cheap to check
 		}
 		facts := cs.deadlineFacts(job)
-		if rule.CountsAsOther(facts, now) {
+		if rule.IsLongWaiting(facts, now) {
 			// Guard: the share of its team's limit that a job uses doesn't measure what it takes from
 			// other jobs. When the limit was used in place of the cluster's capacity, limits of a tenth
 			// of the cluster made every day look overloaded.
@@ -65,7 +65,7 @@
 		if since, boosted := rule.Boost(facts, now); boosted {
 			job.queueKey.boostedSince = since
 			if !cs.readOnly {
-				job.boosted = job.boosted || overloaded
+				job.boostedInOverload = job.boostedInOverload || overloaded
 			}
 			if overloaded {
 				// Guard: when boosted jobs were ordered by age, all of them started a little too late.
@@ -75,7 +75,7 @@
 		}
 	}
 	if !cs.readOnly {
-		cs.gatheringTime = others
+		cs.longWaitingGatherTime = others
 	}
 }
 
@@ -84,7 +84,7 @@
 func (cs *ClusterState) tasksToStart(job *Job) int {
 	tasks := job.Spec.Tasks
 	if job.Spec.Shape == model.Array {
-		tasks = tasksWithin(cs.wholeLimit(job), model.Size{}, job.Spec.Size, tasks)
+		tasks = tasksWithin(cs.configuredLimit(job), model.Size{}, job.Spec.Size, tasks)
 	}
 	return max(0, tasks-job.finished.Len()-job.bound.Len())
 }
--- a/internal/scheduler/operators.go
+++ b/internal/scheduler/operators.go
@@ -29,13 +29,13 @@
 		}
 	}
 	slices.SortFunc(rows, func(x, y *operatorspb.Job) int { return cmp.Compare(x.Id, y.Id) })
-	if len(rows) > placement.PageRows {
-		rows, more = rows[:placement.PageRows], true
+	if len(rows) > placement.PageSize {
+		rows, more = rows[:placement.PageSize], true
 	}
 	return rows, more
 }
 
-func waitingJobRow(record placement.Record, now time.Time) *operatorspb.Job {
+func waitingJobRow(record placement.JobRecord, now time.Time) *operatorspb.Job {
 	spec := record.Job
 	accepted := time.UnixMilli(record.AcceptedMS)
 	row := &operatorspb.Job{
@@ -59,9 +59,9 @@
 	return row
 }
 
-// NodeRows returns a page of the machines whose names are greater than after, and reports
+// MachineRows returns a page of the machines whose names are greater than after, and reports
 // whether there are more.
-func (s *Scheduler) NodeRows(now time.Time, after string) ([]*operatorspb.Node, bool) {
+func (s *Scheduler) MachineRows(now time.Time, after string) ([]*operatorspb.Node, bool) {
 	return s.cluster.MachineRows(after, s.schedulerTime(now))
 }
 
@@ -80,7 +80,7 @@
 
 // DrainCheck returns how many machines a drain would cover, and the jobs for whose tasks it
 // would leave too little capacity. It does not start the drain.
-func (s *Scheduler) DrainCheck(now time.Time, drain *placement.Drain) (covered int, misfits []placement.Misfit) {
+func (s *Scheduler) DrainCheck(now time.Time, drain *placement.Drain) (covered int, unplaceable []placement.UnplaceableJob) {
 	moment := s.schedulerTime(now)
 	canLaunch := func(pool model.Pool, spot bool) bool { return s.autoscaler.CanLaunch(pool, spot, moment) }
 	return s.cluster.DrainCheck(drain, moment, canLaunch)
@@ -91,7 +91,7 @@
 func (s *Scheduler) Status(now time.Time) *operatorspb.StatusResponse {
 	counts := s.cluster.Counts()
 	return &operatorspb.StatusResponse{
-		Complete: s.cluster.Complete(),
+		Complete: s.cluster.TakeoverComplete(),
 		Machines: uint32(counts.Machines),
 		Booting:  uint32(s.autoscaler.Booting()),
 		Unseen:   uint32(counts.Unseen),
@@ -102,7 +102,7 @@
 		Cpus:     counts.CPUs,
 		UsedCpus: counts.Used,
 		LeadingS: s.sinceStart(now).Seconds(),
-		Version:  Program,
+		Version:  ProgramVersion,
 	}
 }
 
