--- a/internal/dag/actions.go
+++ b/internal/dag/actions.go
@@ -36,8 +36,8 @@
 	Final    placement.FinalJobRecord // for Cancel: the final record of the job
 }
 
-// MarkUnknownOutcomes marks each dependency that is neither waiting nor open as having an unknown outcome, so
-// that Actions asks for its stored outcome. isOpen reports whether a job has an open record.
+// MarkUnknownOutcomes marks each dependency that is neither waiting nor open as having
+// an unknown outcome, so that Actions asks for its stored outcome. isOpen reports whether a job has an open record.
 func (g *Graph) MarkUnknownOutcomes(isOpen func(id string) bool) {
 	for id, dep := range g.dependencies {
 		dep.outcomeUnknown = !g.Has(id) && !isOpen(id)
