--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -1,7 +1,7 @@
-// Package sockets divides the sockets that a process may have open among the duties of its
-// connections, so that no duty starves another: a cluster whose workers alone would take every
-// socket still answers health checks and submissions, and direct calls to workers never take the
-// sockets of their heartbeats. It only counts and decides; it opens and closes nothing itself.
+// Package sockets divides the sockets that a process may have open among the duties of its connections,
+// so that no duty starves another. Even if the workers could take every socket, health checks and
+// submissions are still answered, and direct calls to workers never take the sockets of heartbeats. The
+// package only counts connections and decides; its callers open and close them.
 package sockets
 
 import (
@@ -10,43 +10,43 @@
 	"github.com/marlwood/marlwood/internal/httpwire"
 )
 
-// Duty is what a connection is open for.
+// Duty is the purpose of a connection.
 type Duty = httpwire.Duty
 
 // The duties.
 const (
-	Unknown Duty = iota // accepted, and nothing asked on it yet
+	Unknown Duty = iota // accepted, no request received yet
 	Health              // health checks
 	Users               // submissions, queries, cancellations
 	Workers             // workers' heartbeats
 	dutyCount
 )
 
-// Name is a duty's name, as the metrics show it.
+// Name returns a duty's name, as it appears in the metrics.
 func Name(duty Duty) string { return [...]string{"unknown", "health", "users", "workers"}[duty] }
 
-// Limits are how many sockets of this process each use may take.
+// Limits holds the number of this process's sockets that each use may take.
 type Limits struct {
 	Listener int // accepted connections, all duties together
 	Workers  int // of these, workers' connections that stay open between heartbeats
-	Direct   int // connections to workers for direct calls, and half as many calls at once
+	Direct   int // connections to workers for direct calls; at most half as many calls run at once
 }
 
 const (
-	// reservedSockets is held back for everything else: peers in both directions, the key-value store
+	// reservedSockets is reserved for everything else: peers in both directions, the key-value store
 	// (16), the cloud provider, listeners, operators, recorders, and connections that are being closed.
 	reservedSockets = 64
 
-	minSockets      = 8  // of the listener and of direct calls, whatever the quota
-	directDivisor   = 16 // direct calls have a sixteenth of the quota
-	workersPercent  = 70 // of the accepted connections may be workers' that stay open
-	keepWorkersUpTo = 90 // percent of the accepted connections, then workers' are closed after an answer
-	keepUsersUpTo   = 95 // percent of the accepted connections, then users' are closed after an answer
+	minSockets         = 8  // minimum for the listener and for direct calls, whatever the quota
+	directDivisor      = 16 // direct calls have a sixteenth of the quota
+	workersPercent     = 70 // percent of the listener's sockets that open workers' connections may take
+	keepWorkersPercent = 90 // above this percentage of the listener's sockets, workers' connections close after an answer
+	keepUsersPercent   = 95 // above this percentage of the listener's sockets, users' connections close after an answer
 )
 
-// Divide makes limits of a quota, of which listenerShare is the share that accepted connections
-// may take. A sixteenth is for direct calls; workers keep seven tenths of the accepted
-// ones, and what is above that number closes after each answer.
+// Divide divides a quota of sockets into limits. listenerShare is the share of the quota that accepted
+// connections may take. A sixteenth of the quota is for direct calls. Up to seven tenths of the accepted
+// connections may be workers' connections that stay open; any beyond that number are closed after an answer.
 func Divide(quota int, listenerShare float64) Limits {
 	direct := max(minSockets, quota/directDivisor)
 	listener := max(minSockets, min(int(float64(quota)*listenerShare), quota-direct-reservedSockets))
@@ -68,10 +68,10 @@
 	closed  uint64 // connections closed after an answer to keep within the limits
 }
 
-// New makes a budget with nothing open.
+// New creates a budget with no open connections.
 func New(limits Limits) *Budget { return &Budget{limits: limits} }
 
-// add is the one place where counts change.
+// add changes the count of a duty and its peak. No other function changes them.
 func (b *Budget) add(duty Duty, n int) {
 	b.open[duty] += n
 	b.peak[duty] = max(b.peak[duty], b.open[duty])
@@ -81,8 +81,8 @@
 	return b.open[Unknown] + b.open[Health] + b.open[Users] + b.open[Workers]
 }
 
-// Accepted counts a connection that was just accepted. full tells that an idle one must
-// be closed for it; see Evicted and Refused.
+// Accepted counts a connection that was just accepted. full reports whether an idle connection must be
+// closed for it; see Evicted and Refused.
 func (b *Budget) Accepted() (full bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -104,7 +104,7 @@
 	b.refused++
 }
 
-// Became moves a connection to the duty that its request shows.
+// Became moves a connection from one duty to another, once its request shows its duty.
 func (b *Budget) Became(from, to Duty) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -119,22 +119,23 @@
 	b.add(duty, -1)
 }
 
-// Keep tells whether a connection may stay open after its answer. One that may not is
-// closed with the answer, which both ends know of: unlike an eviction it loses nothing.
+// Keep reports whether a connection may stay open after its answer. A connection that may not is closed
+// with the answer, so both ends know of the close; unlike an eviction, this loses nothing.
 //
 // Guard: workers keep their connections and send a heartbeat every few seconds, so in a cluster
-// of some size they took every socket of a controller. Users and health checks were refused,
-// the load balancer took the controller out, and workers that their owner did not accept sent
-// their heartbeats elsewhere until it looked unreachable and its pools moved on, again and again.
+// of some size they took every socket of a controller. Users and health checks were refused, and the
+// load balancer removed the controller. Workers whose connections their owner did not accept sent their
+// heartbeats to other controllers until the owner looked unreachable and its pools got another owner,
+// and this repeated.
 func (b *Budget) Keep(duty Duty) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	keep := true
 	switch duty {
 	case Workers:
-		keep = b.open[Workers] <= b.limits.Workers && b.accepted() <= percentOf(b.limits.Listener, keepWorkersUpTo)
+		keep = b.open[Workers] <= b.limits.Workers && b.accepted() <= percentOf(b.limits.Listener, keepWorkersPercent)
 	case Users:
-		keep = b.accepted() <= percentOf(b.limits.Listener, keepUsersUpTo)
+		keep = b.accepted() <= percentOf(b.limits.Listener, keepUsersPercent)
 	}
 	if !keep {
 		b.closed++
@@ -142,16 +143,16 @@
 	return keep
 }
 
-// Use is how a budget is used at one moment.
+// Use is a snapshot of a budget's counts.
 type Use struct {
-	Open    map[Duty]int // connections now
-	Peak    map[Duty]int // most connections at once so far
+	Open    map[Duty]int // open connections
+	Peak    map[Duty]int // highest number of open connections so far
 	Evicted uint64       // idle connections closed for a new one
 	Refused uint64       // connections closed unserved
 	Closed  uint64       // connections closed after an answer to keep within the limits
 }
 
-// Use returns how the budget is used now.
+// Use returns the current counts of the budget.
 func (b *Budget) Use() Use {
 	b.mu.Lock()
 	defer b.mu.Unlock()
