--- a/internal/workers/calls.go
+++ b/internal/workers/calls.go
@@ -6,56 +6,56 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// Call is a direct call to a worker: commands that don't wait for its next heartbeat.
+// Call is a direct call to a worker: it sends commands without waiting for the worker's next heartbeat.
 type Call struct {
 	Machine   string
 	Addr      string
 	Token     uint64
 	Epoch     uint64
 	Commands  []model.Command
-	Until     time.Time // not to be sent from then on: the lease is over
+	Until     time.Time // the lease ends then: the call must not be sent later
 	id        uint64
 	lastKnown heartbeatVersion // of the machine's newest heartbeat when the call was made
 }
 
-// CallOutcome is what became of a direct call.
+// CallOutcome is the outcome of a direct call.
 type CallOutcome int
 
 // The outcomes.
 const (
-	Executed   CallOutcome = iota // 200, with a heartbeat made after the commands
-	Refused                       // 409, 400 or never sent: nothing was executed
-	Unanswered                    // it may be executed late
+	Executed   CallOutcome = iota // status 200, with a heartbeat made after the commands
+	Refused                       // status 409 or 400, or never sent: nothing was executed
+	Unanswered                    // no response: the commands may still be executed later
 )
 
-// String names the outcome.
+// String returns the outcome's name.
 func (o CallOutcome) String() string {
 	return [...]string{"executed", "refused", "unanswered"}[o]
 }
 
-// directCallState is how a machine's direct calls go.
+// directCallState is the state of a machine's direct calls.
 type directCallState struct {
-	inFlight   uint64 // number of the call in flight, or 0
-	failed     bool   // the last call failed: the next heartbeat is awaited before another
-	tokenSent  bool   // a heartbeat that did not show our token was answered with it
+	inFlight   uint64 // id of the call in flight, or 0
+	failed     bool   // the last call failed: no further call before the next heartbeat
+	tokenSent  bool   // a heartbeat that did not show our token was answered with our token
 	unanswered bool   // a call went unanswered since the machine last showed our token
 }
 
-// tokenUndelivered tells that neither an answer nor a call has brought our token to the machine.
+// tokenUndelivered reports whether an answer with our token and a direct call have both had no visible effect.
 func (d *directCallState) tokenUndelivered() bool { return d.tokenSent && d.unanswered }
 
-// resetTokenDelivery begins to count again what brings our token to the machine.
+// resetTokenDelivery forgets earlier attempts to bring our token to the machine.
 func (d *directCallState) resetTokenDelivery() { d.tokenSent, d.unanswered = false, false }
 
-// enqueueCall has a machine considered when calls are next made. Whatever can make a call worth
-// while, or possible, calls it.
+// enqueueCall queues a machine for the next DueCalls if it needs a call. Every change after which a
+// call may become useful or possible must call it.
 func (reg *Registry) enqueueCall(machine *machineState) {
 	if machine.entries.call == nil && machine.needsCall() {
 		machine.entries.call = reg.callQueue.PushBack(machine)
 	}
 }
 
-// needsCall tells whether anything waits that a direct call could be worth.
+// needsCall reports whether the machine needs a probe or has orders worth a direct call.
 func (m *machineState) needsCall() bool {
 	if m.needsProbe() || m.agent.unexpectedEpoch > 0 {
 		return true
@@ -68,18 +68,19 @@
 	return false
 }
 
-// needsProbe tells whether a call without commands is worth it: to deliver our token, or to see
-// whether the machine can be reached again.
+// needsProbe reports whether a call without commands is useful: to deliver our token, or to check
+// whether the machine is reachable again.
 func (m *machineState) needsProbe() bool { return m.phase == Joining || m.reachability.unreachable }
 
-// DueCalls returns the direct calls that are due, one at a time for each machine: with the starts
-// that wait, with the stops, whose tasks' capacity others wait for, and a probe for each machine
-// that has not shown our token yet: it adopts the token and answers with a heartbeat that shows it.
-// Nothing is called without a valid lease, and no more at once than there are sockets for.
+// DueCalls returns the direct calls that are due, at most one in flight for each machine. They carry
+// queued starts, and stops, because other tasks wait for the capacity that a stop frees. A machine that
+// has not shown our token yet is probed: it adopts the token and responds with a heartbeat that shows it.
+// Without a valid lease DueCalls returns no calls. At most MaxCalls are in flight, which bounds the
+// sockets they use.
 //
-// Guard: a new leader has every machine called. Thousands at once took all sockets of a
-// controller, and while they hung on machines that were gone nobody was accepted. Those
-// whose turn has not come are reached by the answers to their own heartbeats.
+// Guard: a new leader has every machine called. Thousands of calls at once took all sockets of a
+// controller, and while they hung on machines that no longer existed, no connection was accepted.
+// Machines that are still queued are reached by the answers to their own heartbeats.
 func (reg *Registry) DueCalls(now time.Time) []Call {
 	if !reg.HoldsLease(now) {
 		return nil
@@ -98,7 +99,7 @@
 	return due
 }
 
-// mayCall tells whether a machine may be called now.
+// mayCall reports whether a machine may be called now.
 func (reg *Registry) mayCall(machine *machineState) bool {
 	if machine.directCall.inFlight != 0 || machine.directCall.failed {
 		return false
@@ -109,7 +110,7 @@
 	return machine.addr != "" && !machine.hasTerminationNotice() && reg.ownsPool(machine.pool)
 }
 
-// prepareCall makes the call of a machine, if anything is due, and counts it as in flight.
+// prepareCall creates the call to a machine, if one is due, and counts it as in flight.
 func (reg *Registry) prepareCall(machine *machineState) (call Call, isDue bool) {
 	call = Call{
 		Machine:   machine.name,
@@ -136,7 +137,7 @@
 	return call, true
 }
 
-// addCommands puts the orders that wait into a call and tells whether one of them makes it due.
+// addCommands adds the queued orders to a call and reports whether one of them makes the call due.
 func (m *machineState) addCommands(call *Call) (isDue bool) {
 	for _, order := range m.pendingOrders {
 		if order.state != queued || len(call.Commands) >= maxOrders || m.mustKeepAttempt(order) {
@@ -153,8 +154,8 @@
 	return isDue
 }
 
-// CallDone records the outcome of a direct call; it must be called once for each one that DueCalls
-// returned. heartbeat is the worker's response, if one came with it.
+// CallDone records the outcome of a direct call. It must be called exactly once for each call that
+// DueCalls returned. heartbeat is the heartbeat in the worker's response; nil: there was none.
 func (reg *Registry) CallDone(now time.Time, call Call, outcome CallOutcome, heartbeat *model.Heartbeat) {
 	reg.callsInFlight--
 	machine := reg.machines.At(call.Machine)
@@ -163,13 +164,12 @@
 	}
 	machine.directCall.inFlight = 0
 	defer reg.enqueueCall(machine)
-	// Guard: without this pause a worker that cannot be called directly would
-	// be called again and again without end. An epoch that we did not know is
-	// worth one more try.
+	// Guard: without this pause a worker that cannot be called directly would be called in an endless
+	// loop. If the response shows an epoch that the call did not name, one more call is made.
 	machine.directCall.failed = outcome != Executed && (heartbeat == nil || heartbeat.Session == call.Epoch)
 	machine.directCall.unanswered = machine.directCall.unanswered || outcome == Unanswered
 	if call.Token != reg.token {
-		return // orders of an earlier token are void; the next heartbeat decides its starts
+		return // orders of an earlier token are discarded; the next heartbeat decides its starts
 	}
 	if reg.isValidResponse(machine, heartbeat) {
 		reg.applyCallResponse(now, machine, call, heartbeat)
@@ -179,22 +179,22 @@
 		return
 	}
 	machine.recordCallOutcome(&call, outcome)
-	// Guard: a machine that was probed and not heard of yet stays unseen for the leader.
-	// Reported as joining, it was no longer looked for among those that are gone, and a
-	// failover waited for it until it had missed heartbeats as well.
+	// Guard: a machine that was probed but has sent no heartbeat yet must not be reported to the leader.
+	// When it was reported as joining, the leader no longer checked whether the machine still existed,
+	// and a failover waited for it until it had also missed heartbeats.
 	if machine.newest.epoch != 0 {
 		reg.markChanged(machine)
 	}
 }
 
-// isValidResponse tells whether a call was answered with a heartbeat of the called machine that
-// may be applied.
+// isValidResponse reports whether a call's response contains a valid heartbeat of the called machine,
+// with a token no higher than ours.
 func (reg *Registry) isValidResponse(machine *machineState, heartbeat *model.Heartbeat) bool {
 	return heartbeat != nil && heartbeat.Machine == machine.name && heartbeat.Token <= reg.token && ValidateHeartbeat(heartbeat) == nil
 }
 
-// applyCallResponse records what the response to a call shows: that the machine can be reached, and its
-// state, unless its agent has restarted or a newer heartbeat is known.
+// applyCallResponse applies the heartbeat in the response to a call: the machine is reachable, and its
+// state is updated unless its agent has restarted or a newer heartbeat is known.
 func (reg *Registry) applyCallResponse(now time.Time, machine *machineState, call Call, heartbeat *model.Heartbeat) {
 	if machine.reachability.unreachable {
 		reg.markChanged(machine)
@@ -208,10 +208,10 @@
 	}
 }
 
-// keepCalledStartsUndecided leaves the outcome of the starts that a call carried unknown.
+// keepCalledStartsUndecided marks the outcome of the starts in a call as unknown.
 //
-// Guard: the agent's new incarnation may have carried out what the call brought, and none of its
-// heartbeats counts. Decided by the response, the starts went elsewhere as well
+// Guard: the restarted agent may have executed the call's starts, but its heartbeats are ignored. When
+// the call's response decided these starts, the tasks were started on another machine as well
 // (simtest, seed 210009384). They stay undecided until the next token.
 func (m *machineState) keepCalledStartsUndecided() {
 	for _, order := range m.pendingOrders {
@@ -221,7 +221,7 @@
 	}
 }
 
-// recordCallOutcome decides the orders that a call carried, as far as its outcome does.
+// recordCallOutcome updates the orders that a call carried and removes those that its outcome decides.
 func (m *machineState) recordCallOutcome(call *Call, outcome CallOutcome) {
 	for _, order := range m.pendingOrders {
 		order.delivered = order.delivered || (outcome == Executed && order.isStop() && call.includes(order))
@@ -234,7 +234,8 @@
 	})
 }
 
-// recordStartOutcome takes a start out of a call that has ended. Unanswered, it may be carried out late.
+// recordStartOutcome updates a start whose call has ended. If the call went unanswered, the worker may
+// still execute the start later.
 func (m *machineState) recordStartOutcome(start *pendingOrder, call *Call, outcome CallOutcome) {
 	start.state = queued
 	if outcome != Unanswered || call.Epoch != m.newest.epoch {
@@ -249,7 +250,7 @@
 	m.lateStarts[start.key()] = false
 }
 
-// isDecidedByCall tells whether a start's outcome is known after a call.
+// isDecidedByCall reports whether a start's outcome is known after a call.
 func (m *machineState) isDecidedByCall(order *pendingOrder, call *Call, outcome CallOutcome) bool {
 	if !order.isStart() || order.state != queued {
 		return false
@@ -257,10 +258,11 @@
 	return outcome == Executed && call.includes(order) || order.superseded || m.reportedTask(order) != nil
 }
 
-// includes tells whether the call carried an order.
+// includes reports whether the call carried an order, with the same grace period if it is a stop.
 //
-// Guard: a second stop, without time for a checkpoint, that came while a call carried the first counted
-// as delivered by it. Tasks of cancelled jobs saved on until their machine's next heartbeat was answered.
+// Guard: a second stop without time for a checkpoint was ordered while a call carried the first stop, and
+// counted as delivered by that call. Tasks of cancelled jobs continued their checkpoints until their
+// machine's next heartbeat was answered.
 func (c *Call) includes(order *pendingOrder) bool {
 	want := order.command()
 	for _, command := range c.Commands {
--- a/internal/workers/expiry.go
+++ b/internal/workers/expiry.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// clockDrift is the part of a lease by which a worker's clock may run slower than ours: 1/500.
-const clockDrift = 500
+// clockDriftDivisor bounds clock drift: a worker's clock may run slower than ours by 1/500.
+const clockDriftDivisor = 500
 
-// contactState is when a machine's lease may have been extended last, and whether it is silent.
+// contactState records when a machine's lease may last have been extended and whether it missed heartbeats.
 type contactState struct {
-	// The last moment at which a lease of this machine may have been extended, by
-	// us or, before it had shown our token, by anybody else.
+	// The last time at which this machine's lease may have been extended, either by this controller or,
+	// before the machine had shown our token, by another one.
 	last             time.Time
-	missedHeartbeats bool // silent for longer than its heartbeats are apart
+	missedHeartbeats bool // no contact for more than two heartbeat intervals plus a second
 }
 
 // recordContact records that a machine's lease may have been extended now.
@@ -27,11 +27,12 @@
 	}
 }
 
-// expire marks machines that missed heartbeats, and those whose lease has surely run out: a worker
+// expire marks machines that missed heartbeats, and those whose lease has certainly run out: a worker
 // ends its tasks one lease after it sent the last answered heartbeat, and its clock may run slower
-// than ours. It reads only the machines that have been silent for some time.
+// than ours. contactList is ordered by last contact, so expire visits only the machines that have been
+// silent longest.
 func (reg *Registry) expire(now time.Time) {
-	leaseOver := reg.options.Lease + reg.options.Lease/clockDrift + reg.options.Margin
+	leaseOver := reg.options.Lease + reg.options.Lease/clockDriftDivisor + reg.options.Margin
 	missedAfter := 2*reg.options.HeartbeatInterval + time.Second
 	for entry := reg.contactList.Front(); entry != nil; {
 		machine, _ := entry.Value.(*machineState)
--- a/internal/workers/heartbeat.go
+++ b/internal/workers/heartbeat.go
@@ -9,31 +9,31 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// Bounds of what a heartbeat may say.
+// Bounds of the fields of a heartbeat.
 const (
 	maxMachineNameLen     = 150
 	maxTerminationNoticeS = 1e6
 )
 
-// HeartbeatError says which field of a heartbeat is invalid, by its name on the wire, and why.
+// HeartbeatError reports which field of a heartbeat is invalid, by its name on the wire, and why.
 type HeartbeatError struct {
 	Field   string
 	Problem string
 }
 
-// Error names the field and its problem.
+// Error returns the field and its problem.
 func (e *HeartbeatError) Error() string { return fmt.Sprintf("field %s: %s", e.Field, e.Problem) }
 
-// HeartbeatResult is how a worker's heartbeat is to be answered.
+// HeartbeatResult is the answer to a worker's heartbeat.
 type HeartbeatResult struct {
 	Status       int    // 200, 421 or 503
-	Redirect     string // with 421: the controller to go to
+	Redirect     string // with 421: the controller to send heartbeats to
 	Token        uint64
 	Commands     []model.Command
-	NotifyLeader bool // the leader should be told of a change soon
-	Pending      bool // only a message of the leader is missing
-	// Unacknowledged tells that the missing message is the acknowledgement of the machine's tasks,
-	// not a lease.
+	NotifyLeader bool // a change should be reported to the leader soon
+	Pending      bool // the answer only waits for a message from the leader
+	// Unacknowledged reports whether that message is the acknowledgement of the machine's tasks and not
+	// a lease.
 	Unacknowledged bool
 }
 
@@ -81,10 +81,10 @@
 	return !math.IsNaN(seconds) && seconds >= 0 && seconds <= maxTerminationNoticeS
 }
 
-// HandleHeartbeat handles one heartbeat of a worker and says how it is to be answered.
+// HandleHeartbeat handles one heartbeat of a worker and returns the answer to send.
 func (reg *Registry) HandleHeartbeat(now time.Time, heartbeat *model.Heartbeat) HeartbeatResult {
-	// Guard: without a valid lease this controller is not entitled to act, however
-	// recently it was.
+	// Guard: without a valid lease this controller must not act, even if its lease ended only
+	// a moment ago.
 	if !reg.HoldsLease(now) || heartbeat.Token > reg.token {
 		result := refused()
 		result.Pending = heartbeat.Token <= reg.token
@@ -95,7 +95,7 @@
 	case reg.options.Member:
 	case "":
 		result := refused()
-		result.Pending = len(reg.owners) == 0 // the leader has not said yet who owns what
+		result.Pending = len(reg.owners) == 0 // the leader has not sent the pools' owners yet
 		return result
 	default:
 		reg.recordMisdirected(now, heartbeat.Machine)
@@ -110,20 +110,20 @@
 	return reg.acceptHeartbeat(now, machine, heartbeat)
 }
 
-// answerUnapplied answers a known machine's heartbeat whose content doesn't count; done is false
-// for one that is to be applied.
+// answerUnapplied answers a heartbeat of a known machine whose content must not be applied. done is
+// false for a heartbeat that must be applied.
 func (reg *Registry) answerUnapplied(now time.Time, machine *machineState, heartbeat *model.Heartbeat) (result HeartbeatResult, done bool) {
 	switch {
 	case machine.agent.endedEpoch > 0 && heartbeat.Session <= machine.agent.endedEpoch:
-		// Guard: the leader was told that this epoch is over. An answer must
-		// not bring it back to life.
+		// Guard: the end of this epoch was reported to the leader. An answer would extend the
+		// epoch's lease again.
 		reg.scheduleProbe(machine, heartbeat)
 		return refused(), true
 	case machine.agent.restarted:
-		reg.recordContact(now, machine) // its content counts from the next token on
+		reg.recordContact(now, machine) // its content is ignored until the next token
 		return reg.accepted(machine.stopCommands()), true
 	case machine.acknowledgement.isWaiting(machine.newest, heartbeat):
-		return reg.respond(now, machine, heartbeat), true // it was applied when it came
+		return reg.respond(now, machine, heartbeat), true // it was applied when it arrived
 	case !machine.precedes(heartbeat):
 		return reg.handleStale(now, machine, heartbeat), true
 	case reg.withholdsAnswer(machine, heartbeat):
@@ -135,17 +135,16 @@
 // acceptHeartbeat applies the newest heartbeat of a machine and answers it.
 func (reg *Registry) acceptHeartbeat(now time.Time, machine *machineState, heartbeat *model.Heartbeat) HeartbeatResult {
 	changeBefore := reg.lastChange
-	reg.recordContact(now, machine) // a lease may run from its sending, whether it is answered or not
+	reg.recordContact(now, machine) // a lease may run from when it was sent, answered or not
 	machine.directCall.failed = false
-	// A worker has one heartbeat in flight, so this one shows the effect of
-	// every answer before it. A direct call's response does not: an answer may
-	// still be on its way then.
+	// A worker has only one heartbeat in flight, so this one shows the effect of every earlier answer.
+	// A direct call's response does not, because an answer may still be on its way to the worker.
 	undecidedBefore := len(machine.undecidedStarts())
 	reg.updateReachability(now, machine, heartbeat)
 	machine.resolveOrders(func(order *pendingOrder) bool { return order.state == sentInAnswer })
 	if len(machine.undecidedStarts()) != undecidedBefore {
-		// Guard: nothing else shows that the answer that carried a start was lost. If the
-		// leader is not told, its task stays bound to an idle machine for good.
+		// Guard: nothing else shows that the answer that carried a start was lost. If the loss is not
+		// reported to the leader, the task stays bound to an idle machine forever.
 		reg.markChanged(machine)
 	}
 	reg.applyHeartbeat(now, machine, heartbeat)
@@ -154,8 +153,8 @@
 	return result
 }
 
-// respond answers a heartbeat that was applied, as soon as the leader has acknowledged the machine's
-// tasks.
+// respond answers a heartbeat that was applied if the leader has acknowledged the machine's tasks, and
+// returns a pending result otherwise.
 func (reg *Registry) respond(now time.Time, machine *machineState, heartbeat *model.Heartbeat) HeartbeatResult {
 	if reg.awaitsAcknowledgement(now, machine) {
 		machine.acknowledgement.waitingSeq = heartbeat.Seq
@@ -174,8 +173,8 @@
 	return reg.accepted(reg.takeCommands(machine))
 }
 
-// applyHeartbeat records what the newest heartbeat of a machine says, whether the worker sent it
-// by itself or in response to a direct call.
+// applyHeartbeat updates a machine's state from its newest heartbeat, which the worker sent either by
+// itself or in response to a direct call.
 func (reg *Registry) applyHeartbeat(now time.Time, machine *machineState, heartbeat *model.Heartbeat) {
 	epochChanged := machine.newest.epoch != heartbeat.Session
 	machine.addr, machine.spot = heartbeat.Addr, heartbeat.Spot
@@ -209,10 +208,9 @@
 	}
 }
 
-// updatePhase sets the phase by the token that the newest heartbeat shows.
+// updatePhase sets the machine's phase according to the token in the newest heartbeat.
 func (reg *Registry) updatePhase(now time.Time, machine *machineState, heartbeat *model.Heartbeat) {
-	// Until the worker has shown our token, orders of an earlier one may still
-	// be on their way to it.
+	// Until the worker has shown our token, orders of an earlier token may still be on their way to it.
 	phase := Joining
 	if heartbeat.Token == reg.token {
 		phase = Current
@@ -222,11 +220,10 @@
 	}
 	if phase == Current {
 		machine.lateStarts = nil
-		// Guard: until the worker adopted our token, another owner may have
-		// answered it, for all that this registry knows; from then on nobody else
-		// can. Without this, a registry that had owned the machine before counted
-		// the lease from its own last answer of that time, and the leader believed
-		// that it had run out, for the machine had shown our token.
+		// Guard: until the worker adopted our token, another owner may have answered it without this
+		// registry knowing; from then on no other owner can. Without this line, a registry that had
+		// owned the machine earlier counted the lease from its own last answer of that time. It
+		// reported the lease as over, and the leader believed it because the machine had shown our token.
 		reg.recordContact(now, machine)
 	}
 	reg.setPhase(machine, phase)
--- a/internal/workers/machine.go
+++ b/internal/workers/machine.go
@@ -8,12 +8,12 @@
 	"github.com/marlwood/marlwood/internal/peers/peerspb"
 )
 
-// Phase is how far a machine is known to its owner under the current token.
+// Phase is the state of a machine under the owner's current token.
 type Phase string
 
 // The phases.
 const (
-	Joining Phase = "joining" // it sends heartbeats, but has not yet shown our token
+	Joining Phase = "joining" // it has not yet shown our token
 	Current Phase = "current" // its newest heartbeat shows our token: its list of tasks is complete
 	Expired Phase = "expired" // silent for longer than its lease: it has no tasks left
 )
@@ -21,14 +21,14 @@
 // noTermination is the termination notice of a machine that has none.
 const noTermination time.Duration = -1
 
-// machineState is what the registry knows of one machine and of the agent that runs on it.
+// machineState is the registry's state of one machine and of the agent that runs on it.
 type machineState struct {
 	name              string
 	addr              string
 	pool              model.Pool
 	spot              bool
 	phase             Phase
-	terminationNotice time.Duration // until its provider ends it; noTermination: it has not said so
+	terminationNotice time.Duration // time until the provider ends the machine; noTermination: not announced
 	cordoned          bool
 	tasks             []*peerspb.Task
 
@@ -42,7 +42,7 @@
 	lateStarts    lateStarts
 	directCall    directCallState
 
-	change    uint64 // the registry's last change of this machine
+	change    uint64 // number of the registry's last change to this machine
 	occupancy occupancyCache
 	entries   listEntries
 }
@@ -50,15 +50,15 @@
 // listEntries are a machine's entries in the registry's lists; nil: it is not in that list.
 type listEntries struct {
 	change  *list.Element
-	contact *list.Element // nil: the leader has been told that it is silent and expired
+	contact *list.Element // nil: no contact yet, or reported as silent and expired
 	call    *list.Element
 }
 
 // setPhase is the one place where a machine's phase changes.
 func (reg *Registry) setPhase(machine *machineState, phase Phase) {
 	if phase == Expired {
-		// Its lease has run out: nothing runs there, what was not yet handed
-		// over never will be, and the worker's next epoch refuses late calls.
+		// Its lease has run out: no task runs there, queued orders are never delivered, and the worker's
+		// next epoch refuses late calls.
 		machine.pendingOrders, machine.tasks, machine.lateStarts = nil, nil, nil
 		machine.agent.endedEpoch = machine.newest.epoch
 	}
@@ -70,7 +70,7 @@
 	reg.markChanged(machine)
 }
 
-// markChanged has the leader told of a machine in its next round.
+// markChanged includes a machine in the response to the leader's next round.
 func (reg *Registry) markChanged(machine *machineState) {
 	reg.lastChange++
 	machine.change, machine.occupancy.valid = reg.lastChange, false
@@ -81,14 +81,14 @@
 	}
 }
 
-// add registers a machine that was not known.
+// add registers a new machine.
 func (reg *Registry) add(machine *machineState) *machineState {
 	reg.machines.Put(machine.name, machine)
 	reg.enqueueCall(machine)
 	return machine
 }
 
-// remove forgets a machine.
+// remove removes a machine from the registry and from its lists.
 func (reg *Registry) remove(machine *machineState) {
 	reg.machines.Delete(machine.name)
 	if machine.entries.call != nil {
@@ -103,12 +103,12 @@
 	machine.entries = listEntries{}
 }
 
-// acceptsStarts tells whether the leader's starts for the machine are accepted.
+// acceptsStarts reports whether starts for the machine are accepted from the leader.
 func (m *machineState) acceptsStarts() bool {
 	return m.phase == Current && !m.agent.restarted && !m.reachability.unreachable
 }
 
-// hasLiveTasks tells whether a task of the machine has not exited.
+// hasLiveTasks reports whether any task of the machine has not exited.
 func (m *machineState) hasLiveTasks() bool {
 	for _, task := range m.tasks {
 		if task.State != string(model.TaskExited) {
@@ -118,7 +118,7 @@
 	return false
 }
 
-// reportedTask finds the task attempt of an order among those that the machine reported.
+// reportedTask returns the task attempt of an order if the machine reported it, or nil.
 func (m *machineState) reportedTask(order *pendingOrder) *peerspb.Task {
 	for _, task := range m.tasks {
 		if task.Job == order.job && int(task.Index) == order.index && task.Attempt == order.attempt {
@@ -128,7 +128,7 @@
 	return nil
 }
 
-// setTasks replaces the machine's tasks and tells whether anything that the leader acts on differs.
+// setTasks replaces the machine's tasks and reports whether anything that the leader acts on has changed.
 func (m *machineState) setTasks(statuses []model.TaskStatus) bool {
 	same := len(statuses) == len(m.tasks)
 	tasks := make([]*peerspb.Task, 0, len(statuses))
@@ -149,14 +149,14 @@
 	return !same
 }
 
-// sameTask compares two statuses of a task apart from its checkpoint.
+// sameTask reports whether two statuses of a task are equal, ignoring the checkpoint.
 func sameTask(before, after *peerspb.Task) bool {
 	return before.Job == after.Job && before.Index == after.Index && before.Attempt == after.Attempt &&
 		before.State == after.State && before.Cause == after.Cause
 }
 
-// tasksForLeader lists the machine's tasks without those that the leader asked to forget and that
-// stay known here; see lateStarts.
+// tasksForLeader returns the machine's tasks without those that the leader asked to forget but that the
+// worker still keeps; see lateStarts.
 func (m *machineState) tasksForLeader() []*peerspb.Task {
 	if len(m.lateStarts) == 0 {
 		return m.tasks
@@ -170,8 +170,8 @@
 	return tasks
 }
 
-// isUncertain tells that the leader can't rely on the machine's list of tasks under this token:
-// its agent restarted, or a start that is no longer wanted may still be carried out.
+// isUncertain reports whether the leader can't rely on the machine's list of tasks under this token
+// because its agent restarted or because the worker may still execute a start that is no longer wanted.
 func (m *machineState) isUncertain() bool {
 	uncertain := m.agent.restarted
 	for _, order := range m.pendingOrders {
@@ -180,7 +180,7 @@
 	return uncertain
 }
 
-// toWire is the machine as the leader is told of it.
+// toWire returns the machine's state in the form that is sent to the leader.
 func (m *machineState) toWire() *peerspb.Machine {
 	noticeMs := int64(-1)
 	if m.hasTerminationNotice() {
@@ -203,5 +203,5 @@
 	}
 }
 
-// hasTerminationNotice tells whether the provider has announced the machine's end.
+// hasTerminationNotice reports whether the provider has announced the machine's end.
 func (m *machineState) hasTerminationNotice() bool { return m.terminationNotice >= 0 }
--- a/internal/workers/misdirected.go
+++ b/internal/workers/misdirected.go
@@ -8,26 +8,25 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// Misdirected heartbeats that are older say nothing about their owners, nor do more of them.
+// Older misdirected heartbeats are not evidence about a pool's owner, and more of them add nothing.
 const (
-	misdirectedMemory = 5 * time.Second
+	misdirectedMaxAge = 5 * time.Second
 	maxMisdirected    = 1000
 )
 
 // recordMisdirected records for the leader that a machine of another owner's pool sent a heartbeat
-// here: its owner may be out of its reach.
+// here, which may mean that the machine cannot reach its owner.
 func (reg *Registry) recordMisdirected(now time.Time, name string) {
 	if len(reg.misdirected) < maxMisdirected {
 		reg.misdirected[name] = now
 	}
 }
 
-// redirectTo sends a machine to its pool's owner.
+// redirectTo redirects a machine to its pool's owner, or to another controller if the owner is unreachable.
 //
-// Guard: an owner that hears nothing from the pool is probably out of the
-// machines' reach, and a worker waits there for four seconds; its lease would be
-// over before the pool has another owner. Until then machines go to and fro
-// between the controllers that they reach.
+// Guard: an owner that receives no heartbeats from the pool is probably unreachable for its machines,
+// and a worker waits four seconds for such an owner. Its lease would be over before the pool has another
+// owner. Until then the machines are redirected back and forth between the controllers they can reach.
 func (reg *Registry) redirectTo(owner string, pool model.Pool) HeartbeatResult {
 	others, ownerUnreachable := reg.unreachablePools[pool]
 	if !ownerUnreachable {
@@ -41,11 +40,11 @@
 	return refused()
 }
 
-// takeMisdirected hands over what was recorded, in the order of the machines' names.
+// takeMisdirected returns the recorded machines sorted by name, without those too old, and clears the record.
 func (reg *Registry) takeMisdirected(now time.Time) []string {
 	var names []string
 	for name, at := range reg.misdirected {
-		if now.Sub(at) < misdirectedMemory {
+		if now.Sub(at) < misdirectedMaxAge {
 			names = append(names, name)
 		}
 	}
--- a/internal/workers/orders.go
+++ b/internal/workers/orders.go
@@ -10,29 +10,29 @@
 // maxOrders bounds the orders of one answer, far below the line limit.
 const maxOrders = 200
 
-// deliveryState is where an order stands on its way to its machine.
+// deliveryState is the progress of an order's delivery to its machine.
 type deliveryState int
 
 // The states of an order.
 const (
 	queued         deliveryState = iota // waits for the machine's next heartbeat or a direct call
-	sentInAnswer                        // was in the answer to a heartbeat; the next heartbeat decides
+	sentInAnswer                        // sent in the answer to a heartbeat; the next heartbeat shows its effect
 	callInFlight                        // a direct call that carries it is in flight
-	outcomeUnknown                      // a direct call went unanswered: it may be carried out late
+	outcomeUnknown                      // a direct call went unanswered: the worker may execute it later
 )
 
-// pendingOrder is one order of the leader for a machine.
+// pendingOrder is an order from the leader for a machine.
 type pendingOrder struct {
 	id          uint64
 	op          peerspb.Op
 	job         string
 	index       int
 	attempt     uint64
-	gracePeriod time.Duration // of a stop, for a checkpoint
+	gracePeriod time.Duration // time that a stop leaves for a checkpoint
 	state       deliveryState
 	superseded  bool // a start that is no longer wanted
 	delivered   bool // a stop that a direct call has delivered
-	reported    bool // a start whose task a heartbeat has shown
+	reported    bool // a start whose task was in a heartbeat
 }
 
 func newPendingOrder(order *peerspb.Order) *pendingOrder {
@@ -52,7 +52,7 @@
 
 func (o *pendingOrder) isForget() bool { return o.op == peerspb.Op_OP_FORGET }
 
-// attemptKey is one attempt of a task.
+// attemptKey identifies one attempt of a task.
 type attemptKey struct {
 	job     string
 	index   int
@@ -61,12 +61,12 @@
 
 func (o *pendingOrder) key() attemptKey { return attemptKey{o.job, o.index, o.attempt} }
 
-// lateStarts are the attempts whose start may still be carried out late in this epoch, and for each
-// whether the leader asked to forget it. A worker ignores a start of an attempt that it knows, so it
-// isn't told to forget these until the epoch or the token has moved on.
+// lateStarts holds the attempts that the worker may still start late in this epoch; the value is whether
+// the leader asked to forget the attempt. A worker ignores a start of an attempt that it knows, so a
+// forget for these attempts is not sent until the epoch or the token has changed.
 type lateStarts map[attemptKey]bool
 
-// command is the order as the worker receives it.
+// command returns the order as the command that is sent to the worker.
 func (o *pendingOrder) command() model.Command {
 	command := model.Command{Task: model.TaskName(o.job, o.index), Attempt: o.attempt}
 	switch o.op {
@@ -81,7 +81,7 @@
 	return command
 }
 
-// resolveOrders drops the orders that done picks.
+// resolveOrders removes the pending orders for which done returns true.
 func (m *machineState) resolveOrders(done func(order *pendingOrder) bool) {
 	m.occupancy.valid = false
 	rest := m.pendingOrders[:0]
@@ -93,8 +93,8 @@
 	m.pendingOrders = rest
 }
 
-// resolveReportedStarts drops the starts whose task the newest heartbeat shows: they are decided. Those
-// that a call in flight carries wait for its end.
+// resolveReportedStarts removes the starts whose task is in the newest heartbeat, because their outcome
+// is known. Starts in a call that is still in flight stay until the call ends.
 func (m *machineState) resolveReportedStarts() {
 	for _, order := range m.pendingOrders {
 		order.reported = order.reported || order.isStart() && m.reportedTask(order) != nil
@@ -104,7 +104,7 @@
 	})
 }
 
-// undecidedStarts lists the starts whose outcome is open.
+// undecidedStarts returns the ids of the starts whose outcome is not known yet.
 func (m *machineState) undecidedStarts() []uint64 {
 	var ids []uint64
 	for _, order := range m.pendingOrders {
@@ -115,7 +115,7 @@
 	return ids
 }
 
-// undecidedStart finds the start of an attempt whose outcome is open.
+// undecidedStart returns the pending start of an attempt, or nil.
 func (m *machineState) undecidedStart(key attemptKey) *pendingOrder {
 	for _, order := range m.pendingOrders {
 		if order.isStart() && order.key() == key {
@@ -125,10 +125,10 @@
 	return nil
 }
 
-// takeCommands takes the orders for one answer. Starts are handed over once: if
-// the answer is lost, the next heartbeat lacks the task and the leader decides
-// again. Stops and forgets are repeated until a heartbeat shows their effect, and
-// so is a start that a direct call may yet carry out: its task must show.
+// takeCommands returns the commands for one answer. A start is sent in only one answer: if the answer is
+// lost, the next heartbeat lacks the task and the leader decides again. Stops and forgets are repeated
+// until a heartbeat shows their effect. A start from an unanswered direct call is also repeated, because
+// the worker may still execute that call; its task must appear in a heartbeat.
 func (reg *Registry) takeCommands(machine *machineState) []model.Command {
 	var commands []model.Command
 	machine.resolveOrders(func(order *pendingOrder) bool { return machine.isRedundant(order) })
@@ -144,7 +144,7 @@
 	return commands
 }
 
-// isDeliverable tells whether an order may go into the answer to a heartbeat.
+// isDeliverable reports whether an order may go into the answer to a heartbeat.
 func (m *machineState) isDeliverable(order *pendingOrder) bool {
 	if order.state == callInFlight || (order.state == outcomeUnknown && order.superseded) {
 		return false
@@ -152,8 +152,8 @@
 	return !m.mustKeepAttempt(order)
 }
 
-// stopCommands lists the stops that wait, for an answer that must carry no starts. A stop names its
-// attempt, so it is harmless wherever it arrives.
+// stopCommands returns the pending stops, for an answer that must carry no starts. A stop names its
+// attempt, so it cannot stop anything else when it arrives late.
 func (m *machineState) stopCommands() []model.Command {
 	var commands []model.Command
 	for _, order := range m.pendingOrders {
@@ -164,12 +164,12 @@
 	return commands
 }
 
-// isRedundant tells that a stop or a forget has had its effect.
+// isRedundant reports whether a stop or a forget has already taken effect.
 func (m *machineState) isRedundant(order *pendingOrder) bool {
 	task := m.reportedTask(order)
 	switch order.op {
 	case peerspb.Op_OP_STOP:
-		if task == nil { // unless its start may still be carried out
+		if task == nil { // no effect left, unless the worker may still execute its start
 			return m.undecidedStart(order.key()) == nil
 		}
 		return task.State == string(model.TaskExited)
@@ -179,7 +179,7 @@
 	return false
 }
 
-// mustKeepAttempt tells that an order is a forget of an attempt that a call may yet start.
+// mustKeepAttempt reports whether an order is a forget of an attempt that the worker may still start.
 func (m *machineState) mustKeepAttempt(order *pendingOrder) bool {
 	if !order.isForget() {
 		return false
@@ -188,8 +188,8 @@
 	return mayStartLate || m.undecidedStart(order.key()) != nil
 }
 
-// deferForget hides an attempt from the leader in place of a forget, if the attempt may still be
-// started late, and tells whether it did.
+// deferForget replaces a forget of an attempt that may still be started late: it hides the attempt from
+// the leader instead. It reports whether it did so.
 func (m *machineState) deferForget(order *pendingOrder) bool {
 	if _, mayStartLate := m.lateStarts[order.key()]; !mayStartLate || !order.isForget() {
 		return false
@@ -198,7 +198,7 @@
 	return true
 }
 
-// applyOrder accepts one order of the leader.
+// applyOrder applies one order from the leader.
 func (reg *Registry) applyOrder(now time.Time, order *peerspb.Order) {
 	machine := reg.machines.At(order.Machine)
 	if machine == nil {
@@ -208,7 +208,7 @@
 		return
 	}
 	switch order.Op {
-	case peerspb.Op_OP_GREET: // to add the machine was its whole effect
+	case peerspb.Op_OP_GREET: // its only effect is to add the machine
 	case peerspb.Op_OP_CORDON:
 		machine.cordoned = true
 	case peerspb.Op_OP_UNCORDON:
@@ -220,7 +220,7 @@
 	}
 }
 
-// addForOrder adds the unknown machine of an order that needs one; nil: the order needs none.
+// addForOrder adds the machine that an order names if the order needs it, and returns nil otherwise.
 func (reg *Registry) addForOrder(now time.Time, order *peerspb.Order) *machineState {
 	switch order.Op {
 	case peerspb.Op_OP_GREET:
@@ -231,26 +231,26 @@
 			phase:             Joining,
 			terminationNotice: noTermination,
 		})
-		reg.recordContact(now, machine) // its lease may have been extended until now, for all we know
+		reg.recordContact(now, machine) // another owner may have extended its lease until now
 		return machine
 	case peerspb.Op_OP_START:
-		// Unknown here: the start is not accepted, and the leader is told.
+		// The machine is unknown here: the start is not accepted, which is reported to the leader.
 		return reg.add(&machineState{name: order.Machine, phase: Expired, terminationNotice: noTermination})
 	}
 	return nil
 }
 
-// applyTaskOrder accepts a start, stop or forget for a machine.
+// applyTaskOrder applies a start, stop or forget for a machine.
 func (reg *Registry) applyTaskOrder(machine *machineState, order *pendingOrder) {
 	machine.occupancy.valid = false
 	defer reg.enqueueCall(machine)
 	if order.isStart() && !machine.acceptsStarts() {
-		reg.markChanged(machine) // not accepted, hence decided: the leader is told
+		reg.markChanged(machine) // not accepted, so its outcome is known: report it
 		return
 	}
 	if forgotten, late := machine.lateStarts[order.key()]; late && order.isForget() {
-		// Guard: forgotten, the attempt could be started again by a call that
-		// is still in flight. It is only hidden from the leader.
+		// Guard: if the worker forgot the attempt, a call that is still in flight could start it again.
+		// The attempt is only hidden from the leader.
 		if !forgotten {
 			machine.lateStarts[order.key()] = true
 			reg.markChanged(machine)
@@ -262,9 +262,9 @@
 	}
 }
 
-// mergeOrder settles an order with an earlier one for the same attempt, and tells whether nothing
-// is left to be sent for it: a stop cancels a start that is still here, and a second order of the
-// same kind replaces the first.
+// mergeOrder merges an order with an earlier one for the same attempt and reports whether the new order
+// need not be added: a stop cancels a start that is still queued, and a second order of the same kind
+// replaces the first.
 func (reg *Registry) mergeOrder(machine *machineState, order *pendingOrder) (merged bool) {
 	for i, earlier := range machine.pendingOrders {
 		if earlier.key() != order.key() {
@@ -278,7 +278,7 @@
 			}
 			earlier.superseded = true
 			reg.markChanged(machine)
-			return false // handed over, or on its way: the stop may be needed
+			return false // the start was already sent, so the stop may be needed
 		}
 		if earlier.op == order.op {
 			machine.pendingOrders[i] = order
--- a/internal/workers/reachability.go
+++ b/internal/workers/reachability.go
@@ -6,26 +6,26 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// maxLostAnswers is how many answers with starts may be lost in a row until a machine counts as
+// maxLostAnswers is the number of consecutive lost answers with starts after which a machine counts as
 // unreachable.
 const maxLostAnswers = 2
 
-// reachability is whether our answers reach a machine, as far as its heartbeats show. A machine whose
-// heartbeats come while our answers are lost is behind a one-way partition.
+// reachability records whether our answers reach a machine, judged by its heartbeats. A machine whose
+// heartbeats arrive while our answers are lost is behind a one-way partition.
 type reachability struct {
 	unreachable  bool
-	epochSince   time.Time // when the first heartbeat of its epoch came
+	epochSince   time.Time // arrival of the first heartbeat of its epoch
 	lastAnswered time.Time // when a heartbeat of its epoch was last answered
-	lostAnswers  int       // in a row: they carried a start of which the next heartbeat showed nothing
+	lostAnswers  int       // consecutive answers with a start whose task was not in the next heartbeat
 }
 
-// confirm records that an answer or a call of ours has reached the machine.
+// confirm records that one of our answers or calls has reached the machine.
 func (r *reachability) confirm() { r.unreachable, r.lostAnswers = false, 0 }
 
-// updateReachability decides by a heartbeat, before it is applied, whether our answers reach the
-// machine. They don't if an epoch ended although a heartbeat in it was answered, or if answers with
-// starts have no effect. They do if it shows a token of ours for the first time, if it shows a
-// start, or if its epoch outlives a lease.
+// updateReachability decides from a heartbeat, before it is applied, whether our answers reach the
+// machine. They do not if an epoch ended within a lease of an answered heartbeat, or if answers with
+// starts have no effect. They do if the machine shows a new token for the first time, if it shows a
+// started task, or if its epoch lasts longer than a lease.
 func (reg *Registry) updateReachability(now time.Time, machine *machineState, heartbeat *model.Heartbeat) {
 	reachability, wasUnreachable := &machine.reachability, machine.reachability.unreachable
 	switch {
@@ -39,7 +39,7 @@
 	}
 	reachability.lastAnswered = now
 	if reachability.unreachable && !wasUnreachable {
-		// What was not yet handed over goes elsewhere at once.
+		// Starts not sent yet are dropped, so that the leader can place their tasks elsewhere at once.
 		machine.resolveOrders(func(order *pendingOrder) bool { return order.isStart() && order.state == queued })
 	}
 	if reachability.unreachable != wasUnreachable {
@@ -48,7 +48,7 @@
 	}
 }
 
-// checkSentStarts decides by the starts in the last answer whether that answer reached the machine.
+// checkSentStarts decides whether the last answer reached the machine, judged by the starts it carried.
 func (m *machineState) checkSentStarts(heartbeat *model.Heartbeat) {
 	missing, shown := false, false
 	for _, order := range m.pendingOrders {
@@ -66,7 +66,7 @@
 	}
 }
 
-// reportsTask tells whether a heartbeat shows the task attempt of a start.
+// reportsTask reports whether a heartbeat contains the task attempt of a start.
 func reportsTask(heartbeat *model.Heartbeat, order *pendingOrder) bool {
 	name := model.TaskName(order.job, order.index)
 	for _, task := range heartbeat.Tasks {
@@ -77,12 +77,13 @@
 	return false
 }
 
-// withholdsAnswer tells that a machine's heartbeat is not answered: an earlier one was answered with our
-// token, a call went unanswered, and it shows nothing of either.
+// withholdsAnswer reports whether a machine's heartbeat must not be answered: an earlier heartbeat was
+// answered with our token and a call went unanswered, but this heartbeat still does not show the token.
 //
-// Guard: a machine that our answers do not reach can't show our token. Answered over and over, it
-// counted as alive, its lease was never over, and a failover waited for it for as long as the
-// partition lasted. Unanswered, its lease runs out whatever it receives. Meanwhile it is called.
+// Guard: a machine that our answers do not reach can't show our token. While its heartbeats were
+// answered, it counted as alive, its lease never ended, and a failover waited for it for as long as the
+// partition lasted. Without answers its lease runs out, whatever the machine receives. Direct calls to
+// the machine continue meanwhile.
 func (reg *Registry) withholdsAnswer(machine *machineState, heartbeat *model.Heartbeat) bool {
 	if machine.phase != Joining || !machine.directCall.tokenUndelivered() || heartbeat.Token == reg.token {
 		return false
--- a/internal/workers/registry.go
+++ b/internal/workers/registry.go
@@ -1,14 +1,13 @@
-// Package workers is the registry of the workers whose machine pools this controller owns. It
-// handles their heartbeats under the lease that the leader delegates, answers them with the
-// leader's commands, and reports to the leader in sampling rounds what has changed.
+// Package workers implements the registry of the workers whose machine pools this controller owns. The
+// registry handles the workers' heartbeats under the lease that the leader delegates, answers them with
+// the leader's commands, and reports changes to the leader in its rounds.
 //
-// The registry decides and keeps state only in memory: time comes in as an argument, direct calls
-// and answers are sent by its caller, and nothing here touches the network or a disk. It is not
-// safe for concurrent use.
+// The registry keeps its state only in memory and performs no I/O: the caller passes in the time and
+// sends the answers and direct calls. It is not safe for concurrent use.
 //
-// Its invariant: a heartbeat is answered, and a direct call made, only while the delegated lease
-// is valid and with the highest fencing token seen, and no machine is reported as expired before
-// the lease that its newest possible answer extended has run out.
+// Invariants: the registry answers heartbeats and returns direct calls only while the delegated lease is
+// valid, and always with the highest fencing token seen. It reports a machine as expired only after the
+// lease that its newest possible answer extended has run out.
 package workers
 
 import (
@@ -19,51 +18,51 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// Options are the registry's bounds.
+// Options configures a registry.
 type Options struct {
 	Member            string        // this controller's name
-	HeartbeatInterval time.Duration // between two heartbeats of a worker
-	Lease             time.Duration // of a worker: it ends its tasks so long after an answered heartbeat
-	Margin            time.Duration // added to a worker's lease before it counts as over
-	CancelGrace       time.Duration // after a cancellation a task may be kept alive for so long by answers
-	MaxCalls          int           // most direct calls at once
+	HeartbeatInterval time.Duration // time between two heartbeats of a worker
+	Lease             time.Duration // a worker ends its tasks this long after an answered heartbeat
+	Margin            time.Duration // added to a worker's lease before it counts as expired
+	CancelGrace       time.Duration // after a cancellation, answers may keep a task alive for this long
+	MaxCalls          int           // maximum number of direct calls in flight
 }
 
 // Registry holds the workers of one controller's pools and the leader's orders for them.
 type Registry struct {
 	options      Options
-	boot         string // names this process
+	boot         string // identifies this process
 	clockStart   time.Time
 	random       *rand.Rand
 	machineTypes map[string]model.MachineType
 
-	// The leader, as its newest round says.
+	// State from the leader's newest rounds.
 	token                  uint64
 	leader                 string
-	leaseUntil             time.Time // of the lease that the leader delegated
-	leaseRounds            uint64    // rounds of this token's leader that renewed it
+	leaseUntil             time.Time // end of the lease that the leader delegated
+	leaseRounds            uint64    // number of rounds applied for this process
 	storeReachedAt         time.Time
-	cancellationsSeenUntil time.Time // all that was cancelled before is in the orders of this token's leader
+	cancellationsSeenUntil time.Time // this token's leader has ordered the stops of all jobs cancelled before
 	lastOrder              uint64
-	acknowledgedChange     uint64 // the last change that the leader has acknowledged under this token
+	acknowledgedChange     uint64 // last change that the leader has acknowledged under this token
 
 	owners           map[model.Pool]string
-	unreachablePools map[model.Pool][]string // pools whose owner hears nothing from them, and where to send their machines instead
-	jobSizes         map[string]model.Size   // of one task of each job
-	misdirected      map[string]time.Time    // machines of other owners' pools that sent a heartbeat here, and when
+	unreachablePools map[model.Pool][]string // pools whose owner gets no heartbeats; controllers to use instead
+	jobSizes         map[string]model.Size   // size of one task of each job
+	misdirected      map[string]time.Time    // when machines of other owners' pools last sent a heartbeat here
 
 	machines    *model.Table[string, *machineState]
-	changeList  *list.List // of machines, the one that changed last at the back
-	contactList *list.List // of machines, the one that was silent longest at the front
-	callQueue   *list.List // of machines that a direct call may be worth
+	changeList  *list.List // machines, the most recently changed at the back
+	contactList *list.List // machines, the longest silent at the front
+	callQueue   *list.List // machines that may need a direct call
 	lastChange  uint64
 
 	lastCallID    uint64
-	callsInFlight int // direct calls
+	callsInFlight int
 }
 
-// NewRegistry makes an empty registry. boot names this process, and clockStart is the
-// zero of the clock in which the leader's delegated leases are given.
+// NewRegistry creates an empty registry. boot identifies this process, and clockStart is the zero of
+// the clock to which the times in the leader's rounds refer.
 func NewRegistry(options Options, boot string, clockStart time.Time, random *rand.Rand) *Registry {
 	return &Registry{
 		options:     options,
@@ -80,18 +79,18 @@
 	}
 }
 
-// SetTypes sets what a machine of each type holds.
+// SetTypes sets the machine types, which give the capacity of their machines.
 func (reg *Registry) SetTypes(types map[string]model.MachineType) { reg.machineTypes = types }
 
-// HoldsLease tells whether the leader's delegated lease is valid now, so that the registry may
+// HoldsLease reports whether the lease that the leader delegated is valid now, so that the registry may
 // answer workers.
 func (reg *Registry) HoldsLease(now time.Time) bool { return now.Before(reg.leaseUntil) }
 
-// Leader names the controller whose round was seen last, and the highest token seen.
+// Leader returns the controller that sent the last accepted round, and the highest token seen.
 func (reg *Registry) Leader() (leader string, token uint64) { return reg.leader, reg.token }
 
-// StoreReachedAt is when the leader last said that it reaches the key-value store.
+// StoreReachedAt returns when the leader last reported that it can reach the key-value store.
 func (reg *Registry) StoreReachedAt() time.Time { return reg.storeReachedAt }
 
-// ownsPool tells whether this controller owns a pool under the current token.
+// ownsPool reports whether this controller owns a pool under the current token.
 func (reg *Registry) ownsPool(pool model.Pool) bool { return reg.owners[pool] == reg.options.Member }
--- a/internal/workers/rounds.go
+++ b/internal/workers/rounds.go
@@ -11,9 +11,8 @@
 	"github.com/marlwood/marlwood/internal/peers/peerspb"
 )
 
-// HandleRound handles one round of a leader: a delegated lease, orders and sample
-// requests. A round with a lower token than the highest seen is answered
-// but has no effect.
+// HandleRound handles one round of a leader: a delegated lease, orders and sample requests. A round with
+// a token lower than the highest seen is answered but has no effect.
 func (reg *Registry) HandleRound(now time.Time, request *peerspb.RoundRequest) *peerspb.RoundResponse {
 	response := &peerspb.RoundResponse{
 		Boot:    reg.boot,
@@ -51,16 +50,15 @@
 	return response
 }
 
-// RejectTokensBelow tells a registry that has just begun that lower tokens are over.
+// RejectTokensBelow sets the lowest token that a newly started registry accepts.
 //
-// Guard: a process forgets with its end which token it had adopted. The leader
-// of that token counts on it, while an earlier one which may still act could delegate
-// leases to the next process, and extend workers' leases that count as over.
+// Guard: a process that ends loses the token that it had adopted. The leader of that token relies on the
+// adoption. Without this minimum, an earlier leader that may still act could delegate leases to the next
+// process and extend workers' leases that count as expired.
 func (reg *Registry) RejectTokensBelow(token uint64) { reg.token = max(reg.token, token) }
 
-// adoptToken voids everything that was ordered under the token before, and what
-// was known of leases: the pools may have had another owner since this registry last
-// heard of them.
+// adoptToken switches to a new token. It discards all orders of the previous token and what the registry
+// knew about leases, because another owner may have held the pools in the meantime.
 func (reg *Registry) adoptToken(now time.Time, token uint64) {
 	reg.token = token
 	reg.leaseUntil = time.Time{}
@@ -72,11 +70,11 @@
 	reg.cancellationsSeenUntil = time.Time{}
 }
 
-// resetForToken voids what was known of a machine under the token before.
+// resetForToken discards the state of a machine under the previous token.
 func (reg *Registry) resetForToken(now time.Time, machine *machineState) {
-	// Guard: another owner may have kept the machine's epoch alive
-	// meanwhile. Counted from what this registry last heard, the machine was
-	// reported as expired although it lived, and its heartbeats were refused.
+	// Guard: another owner may have kept the machine's epoch alive in the meantime. When the lease was
+	// counted from the last heartbeat that this registry had received, a live machine was reported as
+	// expired and its heartbeats were refused.
 	reg.extendGrace(machine)
 	machine.pendingOrders, machine.cordoned = nil, false
 	machine.agent.endedEpoch, machine.agent.unexpectedEpoch = 0, 0
@@ -85,8 +83,8 @@
 	machine.contact.missedHeartbeats = false
 	machine.acknowledgement.reset()
 	if machine.agent.restarted {
-		// What it said before it restarted says nothing of it any more, and shows an
-		// earlier token; what shows this one it has said since.
+		// Heartbeats from before the agent's restart show an earlier token and no longer describe it.
+		// Heartbeats that show this token were sent after the restart.
 		machine.forgetIncarnation()
 	}
 	reg.recordContact(now, machine)
@@ -100,8 +98,8 @@
 
 // applyRound applies a round that was made for this process.
 func (reg *Registry) applyRound(now time.Time, request *peerspb.RoundRequest) {
-	// The lease is a moment on this process's own clock, so a round that a
-	// partition held back brings a lease that is over.
+	// The end of the lease is a time on this process's own clock, so a round that a partition delayed
+	// may bring a lease that has already ended.
 	if until := reg.clockStart.Add(time.Duration(request.GrantUntilNs)); until.After(reg.leaseUntil) {
 		reg.leaseUntil = until
 	}
@@ -112,7 +110,7 @@
 		reg.applyJobSizes(request.Sizes)
 	}
 	for _, order := range request.Orders {
-		if order.Id <= reg.lastOrder { // a repeat, or a round that came late
+		if order.Id <= reg.lastOrder { // a repeated order, or a round that arrived late
 			continue
 		}
 		reg.lastOrder = order.Id
@@ -125,7 +123,7 @@
 	}
 }
 
-// applyOwners replaces the owners of the pools and forgets the machines of those that moved away.
+// applyOwners replaces the owners of the pools and removes the machines of pools that have another owner.
 func (reg *Registry) applyOwners(owners []*peerspb.KindOwner) {
 	before := reg.owners
 	reg.owners = make(map[model.Pool]string, len(owners))
@@ -147,7 +145,7 @@
 	}
 }
 
-// applyJobSizes records the sizes of jobs' tasks; a job without one is over and is forgotten.
+// applyJobSizes records the task sizes of jobs. A job without a size has ended and is removed.
 func (reg *Registry) applyJobSizes(sizes []*peerspb.JobSize) {
 	for _, job := range sizes {
 		if job.Size == nil {
@@ -161,7 +159,7 @@
 	}
 }
 
-// changedSince lists the machines that changed after a change, in the order of their names.
+// changedSince returns the machines that changed after the given change, sorted by name.
 func (reg *Registry) changedSince(change uint64) []*peerspb.Machine {
 	var changed []*peerspb.Machine
 	for entry := reg.changeList.Back(); entry != nil; entry = entry.Prev() {
--- a/internal/workers/samples.go
+++ b/internal/workers/samples.go
@@ -5,15 +5,15 @@
 	"github.com/marlwood/marlwood/internal/peers/peerspb"
 )
 
-// occupancyCache keeps what a machine's tasks take until it changes; see Registry.occupancy.
+// occupancyCache caches the resources that a machine's tasks use until the machine changes; see Registry.occupancy.
 type occupancyCache struct {
 	used       model.Size
-	sizesKnown bool // the sizes of all its tasks' jobs were known
+	sizesKnown bool // the sizes of the jobs of all its tasks were known
 	valid      bool // used and sizesKnown are up to date
 }
 
-// occupancy is what the machine's tasks take, undecided starts included. known
-// is false while some job's size is not known.
+// occupancy returns the resources that the machine's tasks use, including undecided starts. known is
+// false while the size of some task's job is not known.
 func (reg *Registry) occupancy(machine *machineState) (used model.Size, known bool) {
 	cache := &machine.occupancy
 	if cache.valid {
@@ -46,8 +46,8 @@
 	free model.Size
 }
 
-// freeMachines lists the machines that may be sampled, by pool and in the order of their
-// names. It is computed once for all sample requests of a round.
+// freeMachines returns the machines that may be sampled, by pool and sorted by name. It is called once
+// for all sample requests of a round.
 func (reg *Registry) freeMachines() map[model.Pool][]freeMachine {
 	free := map[model.Pool][]freeMachine{}
 	for _, machine := range reg.machines.All() {
@@ -67,7 +67,7 @@
 	return free
 }
 
-// maySample tells whether a machine may get new tasks, whatever its free capacity.
+// maySample reports whether a machine may get new tasks, regardless of its free capacity.
 func (reg *Registry) maySample(machine *machineState) bool {
 	if !machine.acceptsStarts() || machine.cordoned || machine.hasTerminationNotice() {
 		return false
@@ -75,9 +75,9 @@
 	return !machine.contact.missedHeartbeats && reg.ownsPool(machine.pool)
 }
 
-// sample draws machines that a task fits on, want.Draws of each pool that this controller owns,
-// with replacement as in the paper; a scan names every machine that it fits on. Spot
-// machines are drawn apart, for they differ from the others of their pool.
+// sample draws machines on which a task fits: want.Draws from each pool that this controller owns, with
+// replacement as in the paper. A scan returns every machine on which the task fits. Spot machines are
+// drawn separately because they differ from the other machines of their pool.
 func (reg *Registry) sample(want *peerspb.Want, free map[model.Pool][]freeMachine) []*peerspb.Sample {
 	size := sizeFromWire(want.Size)
 	var samples []*peerspb.Sample
--- a/internal/workers/stale.go
+++ b/internal/workers/stale.go
@@ -7,11 +7,11 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// Heartbeats may arrive late, twice, or from an agent that restarted under the same name and
-// address, whose numbers and token are low again. Within one incarnation of an agent its token,
-// epoch and sequence number only rise, in this order of weight, so of two heartbeats that of the
-// larger triple was made later. A heartbeat alone does not tell of which incarnation it is; the
-// response to a call made now does, for it was made after the call.
+// Heartbeats may arrive late, twice, or from an agent that restarted under the same name and address,
+// whose token, epoch and sequence number start low again. Within one incarnation of an agent the triple
+// (token, epoch, sequence number), compared in this order, only increases, so the heartbeat with the
+// larger triple was made later. A heartbeat alone does not show which incarnation sent it. The response
+// to a direct call does, because it was made after the call.
 
 // heartbeatVersion orders the heartbeats of one incarnation of an agent.
 type heartbeatVersion struct {
@@ -24,29 +24,29 @@
 	return heartbeatVersion{token: heartbeat.Token, epoch: heartbeat.Session, seq: heartbeat.Seq}
 }
 
-// precedes tells whether a heartbeat was made before another one of the same incarnation.
+// precedes reports whether a heartbeat was made before another one of the same incarnation.
 //
-// Guard: the token weighs most. A late heartbeat of an agent's earlier incarnation has a
-// larger number than its present ones; one that shows a token that was given out later
-// was made later all the same.
+// Guard: the token is compared first. A late heartbeat of an agent's earlier incarnation has a larger
+// sequence number than the present ones; a heartbeat that shows a token issued later was nevertheless
+// made later.
 func (v heartbeatVersion) precedes(other heartbeatVersion) bool {
 	return cmp.Or(cmp.Compare(v.token, other.token), cmp.Compare(v.epoch, other.epoch), cmp.Compare(v.seq, other.seq)) < 0
 }
 
-// precedes tells whether the machine's newest heartbeat was made before another one, if its agent
-// has not restarted between them.
+// precedes reports whether the machine's newest heartbeat was made before another one, provided that its
+// agent has not restarted between them.
 func (m *machineState) precedes(heartbeat *model.Heartbeat) bool {
 	return m.newest.precedes(versionOf(heartbeat))
 }
 
-// handleStale answers a heartbeat that is no newer than what is known: a late one, a duplicate, or one
-// of an agent that restarted. Its list of tasks counts for nothing.
+// handleStale answers a heartbeat that is no newer than the newest known one: a late heartbeat, a
+// duplicate, or one of an agent that restarted. Its list of tasks is ignored.
 func (reg *Registry) handleStale(now time.Time, machine *machineState, heartbeat *model.Heartbeat) HeartbeatResult {
-	// Guard: the response to a direct call may have overtaken the heartbeat. Its sender still
-	// waits, and this answer extends its lease; counted from the heartbeat before, the lease was
-	// reported as over too early. Nobody waits for a heartbeat that was answered before, or that
-	// was sent before one that was: duplicates kept machines that were gone from being reported
-	// as expired.
+	// Guard: the response to a direct call may have overtaken the heartbeat. The worker still waits for
+	// this answer, which extends its lease; when the lease was counted from the previous heartbeat, it was
+	// reported as over too early. The worker no longer waits if this heartbeat or a later one was already
+	// answered. When such duplicates extended the lease, machines that no longer existed were not
+	// reported as expired.
 	awaited := heartbeat.Session == machine.newest.epoch && heartbeat.Seq > machine.agent.answeredSeq
 	if awaited && reg.awaitsAcknowledgement(now, machine) {
 		return unacknowledged()
@@ -59,10 +59,10 @@
 	return reg.accepted(machine.stopCommands())
 }
 
-// scheduleProbe has a machine called that sent a heartbeat which does not fit to what is known.
+// scheduleProbe schedules a direct call to a machine whose heartbeat does not fit the known state.
 //
-// Guard: an agent that restarted has low numbers again. Taken for late, its heartbeats were
-// ignored until their numbers had risen to what they were before, or its lease had run out.
+// Guard: the sequence numbers of a restarted agent start low again. Its heartbeats were taken for late
+// ones and ignored until their numbers reached the earlier ones or the agent's lease had run out.
 func (reg *Registry) scheduleProbe(machine *machineState, heartbeat *model.Heartbeat) {
 	machine.agent.unexpectedEpoch, machine.directCall.failed = heartbeat.Session, false
 	if machine.addr == "" {
