--- a/internal/sockets/sockets_test.go
+++ b/internal/sockets/sockets_test.go
@@ -11,8 +11,8 @@
 	}{
 		{name: "a large quota", quota: 3207, share: 0.85, want: Limits{Listener: 2725, Workers: 1907, Direct: 200}},
 		{name: "a small quota", quota: 900, share: 0.85, want: Limits{Listener: 765, Workers: 535, Direct: 56}},
-		{name: "all for the listener: the rest keeps its sockets", quota: 900, share: 1, want: Limits{Listener: 780, Workers: 546, Direct: 56}},
-		{name: "the least limits", quota: 50, share: 0.85, want: Limits{Listener: 8, Workers: 5, Direct: 8}},
+		{name: "the whole quota for the listener: the other uses keep their sockets", quota: 900, share: 1, want: Limits{Listener: 780, Workers: 546, Direct: 56}},
+		{name: "the minimum limits", quota: 50, share: 0.85, want: Limits{Listener: 8, Workers: 5, Direct: 8}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := Divide(test.quota, test.share); got != test.want {
@@ -22,7 +22,7 @@
 	}
 }
 
-// Connections come and go; at each point the test checks which may stay.
+// Opens and closes connections of all duties and checks at each step which may stay open.
 func TestBudget(t *testing.T) {
 	budget := New(Limits{Listener: 10, Workers: 4})
 	open := func(duty Duty) (full bool) {
@@ -32,11 +32,11 @@
 	}
 	for range 4 {
 		if open(Workers) {
-			t.Fatal("full too soon")
+			t.Fatal("reported as full below the limit")
 		}
 	}
 	if !budget.Keep(Workers) {
-		t.Error("four workers' connections are within the limit")
+		t.Error("a worker's connection is closed although four are within the limit")
 	}
 	open(Workers)
 	if budget.Keep(Workers) {
@@ -50,15 +50,15 @@
 	}
 	open(Health)
 	if budget.Keep(Users) || !budget.Keep(Health) {
-		t.Error("with all sockets taken users' connections close after an answer, health checks stay")
+		t.Error("with all sockets taken, a user's connection is kept or a health check's is closed")
 	}
 	if !open(Users) {
-		t.Error("an eleventh connection is not reported as one too many")
+		t.Error("the eleventh connection is not reported as exceeding the limit")
 	}
 	budget.Closed(Workers)
 	budget.Closed(Workers)
 	if budget.accepted() != 9 || !budget.Keep(Workers) {
-		t.Errorf("after two workers left %d are open", budget.accepted())
+		t.Errorf("after two workers' connections closed, %d are open; want 9, with workers' connections kept", budget.accepted())
 	}
 	checkUse(t, budget.Use())
 }
--- a/internal/workers/acknowledge_test.go
+++ b/internal/workers/acknowledge_test.go
@@ -11,9 +11,9 @@
 	"github.com/marlwood/marlwood/internal/peers/peerspb"
 )
 
-// takeOverAfterView has a leader, who read the jobs at 1 s, acknowledge a task and order its stop or not,
-// and a next one take over.
-func takeOverAfterView(registry *Registry, stopped bool) {
+// takeOverAfterJobRead has a leader that read the jobs at 1 s acknowledge a task and, if stopped is true,
+// order its stop. Then the next leader takes over at 2 s.
+func takeOverAfterJobRead(registry *Registry, stopped bool) {
 	registry.HandleHeartbeat(at(1), newHeartbeat(1, 1, 5, running("j/1")))
 	acknowledgeAll(registry, 1.1, 5, 20)
 	registry.HandleHeartbeat(at(1.2), newHeartbeat(1, 1, 5, running("j/1")))
@@ -27,7 +27,8 @@
 	registry.HandleRound(at(2), newRound(6, 20))
 }
 
-// acknowledgementTest leads to a heartbeat; pending is whether its answer waits for the leader.
+// acknowledgementTest has steps that end with a heartbeat. pending is whether the heartbeat's answer waits
+// for the leader.
 type acknowledgementTest struct {
 	name    string
 	steps   func(registry *Registry) HeartbeatResult
@@ -35,7 +36,7 @@
 	answer  []string
 }
 
-// underOneToken are tests under the token of one leader.
+// underOneToken holds the tests under the token of one leader.
 var underOneToken = []acknowledgementTest{
 	{name: "no tasks", steps: func(registry *Registry) HeartbeatResult {
 		return registry.HandleHeartbeat(at(1), newHeartbeat(1, 1, 0))
@@ -43,10 +44,10 @@
 	{name: "a task that has ended", steps: func(registry *Registry) HeartbeatResult {
 		return registry.HandleHeartbeat(at(1), newHeartbeat(1, 1, 5, inState("j/1", model.TaskExited)))
 	}},
-	{name: "a task, before the leader has heard of it", pending: true, steps: func(registry *Registry) HeartbeatResult {
+	{name: "a task, before it is reported to the leader", pending: true, steps: func(registry *Registry) HeartbeatResult {
 		return registry.HandleHeartbeat(at(1), newHeartbeat(1, 1, 0, running("j/1")))
 	}},
-	{name: "the same under our token", pending: true, steps: func(registry *Registry) HeartbeatResult {
+	{name: "the same, and the heartbeat shows our token", pending: true, steps: func(registry *Registry) HeartbeatResult {
 		return registry.HandleHeartbeat(at(1), newHeartbeat(1, 1, 5, running("j/1")))
 	}},
 	{name: "a round that acknowledges nothing", pending: true, steps: func(registry *Registry) HeartbeatResult {
@@ -54,39 +55,39 @@
 		registry.HandleRound(at(1.1), newRound(5, 10))
 		return registry.HandleHeartbeat(at(1.2), newHeartbeat(1, 1, 0, running("j/1")))
 	}},
-	{name: "acknowledged, and to be stopped", answer: []string{"stop j/1"}, steps: func(registry *Registry) HeartbeatResult {
+	{name: "acknowledged, with a stop ordered", answer: []string{"stop j/1"}, steps: func(registry *Registry) HeartbeatResult {
 		registry.HandleHeartbeat(at(1), newHeartbeat(1, 1, 0, running("j/1")))
 		acknowledgeAll(registry, 1.1, 5, 10, newOrder(1, peerspb.Op_OP_STOP, 1))
 		return registry.HandleHeartbeat(at(1.2), newHeartbeat(1, 1, 0, running("j/1")))
 	}},
-	{name: "a call has overtaken the heartbeat", answer: []string{"stop j/1"}, steps: func(registry *Registry) HeartbeatResult {
+	{name: "the response to a call has overtaken the heartbeat", answer: []string{"stop j/1"}, steps: func(registry *Registry) HeartbeatResult {
 		registry.HandleHeartbeat(at(1), newHeartbeat(1, 1, 0, running("j/1")))
-		endCalls(registry, 1, 1.1, Executed, newHeartbeat(1, 3, 5, running("j/1")))
+		completeCalls(registry, 1, 1.1, Executed, newHeartbeat(1, 3, 5, running("j/1")))
 		acknowledgeAll(registry, 1.2, 5, 10, newOrder(1, peerspb.Op_OP_STOP, 1))
 		return registry.HandleHeartbeat(at(1.3), newHeartbeat(1, 1, 0, running("j/1")))
 	}},
-	{name: "an earlier leader started another one before the worker adopted our token", pending: true, steps: func(registry *Registry) HeartbeatResult {
+	{name: "an earlier leader started another task before the worker adopted our token", pending: true, steps: func(registry *Registry) HeartbeatResult {
 		registry.HandleHeartbeat(at(1), newHeartbeat(1, 1, 0, running("j/1")))
 		acknowledgeAll(registry, 1.1, 5, 10)
 		registry.HandleHeartbeat(at(1.2), newHeartbeat(1, 1, 0, running("j/1")))
 		return registry.HandleHeartbeat(at(1.7), newHeartbeat(1, 2, 5, running("j/1"), running("j/2")))
 	}},
-	{name: "once complete and acknowledged, the leader alone adds tasks", steps: func(registry *Registry) HeartbeatResult {
+	{name: "a complete list was acknowledged, so only the leader adds tasks", steps: func(registry *Registry) HeartbeatResult {
 		registry.HandleHeartbeat(at(1), newHeartbeat(1, 1, 5, running("j/1")))
 		acknowledgeAll(registry, 1.1, 5, 10)
 		registry.HandleHeartbeat(at(1.2), newHeartbeat(1, 1, 5, running("j/1")))
 		return registry.HandleHeartbeat(at(1.7), newHeartbeat(1, 2, 5, running("j/1"), running("j/2")))
 	}},
-	{name: "the leader has acted since, and not acknowledged them for too long", steps: func(registry *Registry) HeartbeatResult {
+	{name: "the leader has sent a round but not acknowledged the tasks for too long", steps: func(registry *Registry) HeartbeatResult {
 		registry.HandleHeartbeat(at(1), newHeartbeat(1, 1, 0, running("j/1")))
 		registry.HandleRound(at(2.4), newRound(5, 10))
 		return registry.HandleHeartbeat(at(2.6), newHeartbeat(1, 1, 0, running("j/1")))
 	}},
-	{name: "it has not acted since", pending: true, steps: func(registry *Registry) HeartbeatResult {
+	{name: "the leader has sent no round since", pending: true, steps: func(registry *Registry) HeartbeatResult {
 		registry.HandleHeartbeat(at(1), newHeartbeat(1, 1, 0, running("j/1")))
 		return registry.HandleHeartbeat(at(3.9), newHeartbeat(1, 1, 0, running("j/1")))
 	}},
-	{name: "the leader needs to be told of nothing", steps: func(registry *Registry) HeartbeatResult {
+	{name: "the leader has no stops for the owner", steps: func(registry *Registry) HeartbeatResult {
 		round := newRound(5, 10)
 		round.Seen = AllChanges
 		registry.HandleRound(at(0.5), round)
@@ -94,7 +95,7 @@
 	}},
 }
 
-// underNewToken are tests in which a next leader takes over.
+// underNewToken holds the tests in which the next leader takes over.
 var underNewToken = []acknowledgementTest{
 	{name: "a new token", pending: true, steps: func(registry *Registry) HeartbeatResult {
 		registry.HandleHeartbeat(at(1), newHeartbeat(1, 1, 5, running("j/1")))
@@ -103,22 +104,23 @@
 		registry.HandleRound(at(1.2), newRound(6, 10))
 		return registry.HandleHeartbeat(at(1.3), newHeartbeat(1, 2, 5, running("j/1")))
 	}},
-	{name: "a new token, within the time of what the last leader may not have seen", steps: func(registry *Registry) HeartbeatResult {
-		takeOverAfterView(registry, false)
+	{name: "a new token, within the grace after the last leader's read of the jobs", steps: func(registry *Registry) HeartbeatResult {
+		takeOverAfterJobRead(registry, false)
 		return registry.HandleHeartbeat(at(15.9), newHeartbeat(1, 2, 5, running("j/1")))
 	}},
-	{name: "a new token, after that", pending: true, steps: func(registry *Registry) HeartbeatResult {
-		takeOverAfterView(registry, false)
+	{name: "a new token, after the grace", pending: true, steps: func(registry *Registry) HeartbeatResult {
+		takeOverAfterJobRead(registry, false)
 		return registry.HandleHeartbeat(at(16.1), newHeartbeat(1, 2, 5, running("j/1")))
 	}},
-	{name: "a new token, and a stop of the last leader was not carried out", pending: true, steps: func(registry *Registry) HeartbeatResult {
-		takeOverAfterView(registry, true)
+	{name: "a new token, with a stop of the last leader not executed", pending: true, steps: func(registry *Registry) HeartbeatResult {
+		takeOverAfterJobRead(registry, true)
 		return registry.HandleHeartbeat(at(15.9), newHeartbeat(1, 2, 5, running("j/1")))
 	}},
 }
 
-// A heartbeat whose machine has tasks is answered under a new token once the leader has acknowledged
-// them, and with the stops that came with that. Guard: simtest, seed 7100019330.
+// Under a new token, the heartbeat of a machine with tasks is answered only after the leader has
+// acknowledged the tasks, and the answer carries the stops that came with the acknowledgement.
+// Guard: simtest, seed 7100019330.
 func TestAwaitsAcknowledgement(t *testing.T) {
 	for _, test := range slices.Concat(underOneToken, underNewToken) {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/workers/calls_test.go
+++ b/internal/workers/calls_test.go
@@ -9,25 +9,25 @@
 	"github.com/marlwood/marlwood/internal/peers/peerspb"
 )
 
-// Under a new token, and for a machine that the leader names, the owner calls
-// the worker without commands to see its tasks under the token at once.
+// Under a new token, and for a machine that the leader asks to probe, the owner calls the worker without
+// commands, so that the worker reports its tasks under the token at once.
 func TestProbes(t *testing.T) {
 	for _, test := range []struct {
 		name  string
-		steps func(t *testing.T, registry *Registry) // lead to a machine that has not shown token 6
+		steps func(t *testing.T, registry *Registry) // lead to a known machine that has not shown token 6
 	}{
 		{name: "known machine", steps: func(_ *testing.T, registry *Registry) {
 			registry.HandleHeartbeat(at(1), newHeartbeat(1, 1, 5))
 			registry.HandleRound(at(2), newRound(6, 10))
 		}},
-		{name: "named machine, epoch unknown", steps: func(t *testing.T, registry *Registry) {
+		{name: "machine to probe, epoch unknown", steps: func(t *testing.T, registry *Registry) {
 			t.Helper()
 			registry.HandleRound(at(2), newRound(6, 10, newProbe(1, "m1")))
 			call := onlyCall(t, registry, 2)
 			if len(call.Commands) != 0 || call.Addr != "x:1" {
 				t.Fatalf("call: %v", call)
 			}
-			registry.CallDone(at(2.1), call, Refused, newHeartbeat(1, 2, 5)) // it tells its epoch
+			registry.CallDone(at(2.1), call, Refused, newHeartbeat(1, 2, 5)) // the response reports its epoch
 		}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -35,7 +35,7 @@
 			test.steps(t, registry)
 			response := registry.HandleRound(at(2.2), newRound(6, 10))
 			if len(response.Machines) != 1 || response.Machines[0].Phase != string(Joining) {
-				t.Fatalf("the leader is told %v", response.Machines)
+				t.Fatalf("reported to the leader: %v", response.Machines)
 			}
 			call := onlyCall(t, registry, 2.3)
 			if call.Token != 6 || call.Epoch != 1 {
@@ -43,20 +43,20 @@
 			}
 			registry.CallDone(at(2.4), call, Executed, newHeartbeat(1, 3, 6, running("j/1")))
 			if machine := registry.HandleRound(at(2.5), newRound(6, 10)).Machines[0]; machine.Phase != string(Current) || len(machine.Tasks) != 1 {
-				t.Errorf("the leader is told %v", machine)
+				t.Errorf("reported to the leader: %v", machine)
 			}
 		})
 	}
 }
 
-// Nothing is called without a lease, and a call under an earlier token or
-// after the machine's record is gone changes nothing.
-func TestCallsAndTokens(t *testing.T) {
+// No call is made without a lease. The outcome of a call changes nothing if the call was made under an
+// earlier token or its machine was removed meanwhile.
+func TestOutdatedCallsHaveNoEffect(t *testing.T) {
 	registry := newTestRegistry()
 	registry.HandleHeartbeat(at(1), newHeartbeat(1, 1, 5))
 	registry.HandleRound(at(2), newRound(5, 10, newOrder(1, peerspb.Op_OP_START, 1)))
 	if len(registry.DueCalls(at(11))) != 0 {
-		t.Error("called without a lease")
+		t.Error("a call is made without a lease")
 	}
 	call := registry.DueCalls(at(3))[0]
 	registry.HandleRound(at(4), newRound(6, 10))
@@ -64,19 +64,18 @@
 	registry.HandleHeartbeat(at(6), newHeartbeat(1, 2, 6))
 	response := registry.HandleRound(at(7), newRound(6, 10))
 	if machine := response.Machines[0]; machine.Phase != string(Current) || len(machine.Undecided) != 0 || machine.Unsure {
-		t.Errorf("a new token does not decide a late call: %v", machine)
+		t.Errorf("starts are still undecided after a new token: %v", machine)
 	}
 	registry.HandleRound(at(8), newRound(6, 10, newOrder(1, peerspb.Op_OP_DROP, 0)))
 	registry.CallDone(at(9), call, Executed, newHeartbeat(1, 3, 6))
 	if registry.machines.Len() != 0 {
-		t.Error("a call brings a machine back")
+		t.Error("the outcome of a call adds a removed machine again")
 	}
 }
 
-// A stop is called directly, once, for another task may wait for the capacity; a
-// second stop is called again. One for a task that is not there waits for the
-// next heartbeat.
-func TestStopsAreCalled(t *testing.T) {
+// A stop is sent in one direct call, because another task may wait for the capacity. A second stop is
+// sent in another call. A stop for a task that the machine does not have waits for the next heartbeat.
+func TestStopsAreSentInCalls(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		tasks  []model.TaskStatus
@@ -84,19 +83,19 @@
 		calls  int
 	}{
 		{
-			name:   "it runs",
+			name:   "the task runs",
 			tasks:  []model.TaskStatus{running("j/1")},
 			orders: []*peerspb.Order{newOrder(1, peerspb.Op_OP_STOP, 1)},
 			calls:  1,
 		},
 		{
-			name:   "it is to end at once after all",
+			name:   "a second stop ends the checkpoint",
 			tasks:  []model.TaskStatus{running("j/1")},
 			orders: []*peerspb.Order{newOrder(1, peerspb.Op_OP_STOP, 1), newOrder(2, peerspb.Op_OP_STOP, 1)},
 			calls:  2,
 		},
 		{
-			name:   "it is not there",
+			name:   "the machine does not have the task",
 			orders: []*peerspb.Order{newOrder(1, peerspb.Op_OP_STOP, 1)},
 			calls:  0,
 		},
@@ -122,9 +121,9 @@
 	}
 }
 
-// A stop without time for a checkpoint that comes while a call carries one with it is called as well:
-// the first call's response says nothing of it.
-func TestSecondStopWhileCalled(t *testing.T) {
+// A second stop with less time for a checkpoint, ordered while a call carries the first stop, is sent in a
+// call of its own: the first call's response does not show that the second stop was delivered.
+func TestSecondStopDuringCall(t *testing.T) {
 	saving := inState("j/1", model.TaskSaving)
 	for _, graceMs := range []int64{0, 2000} {
 		t.Run(fmt.Sprintf("second stop with %d ms", graceMs), func(t *testing.T) {
@@ -138,18 +137,18 @@
 			registry.CallDone(at(2.2), call, Executed, newHeartbeat(1, 2, 5, saving))
 			call = onlyCall(t, registry, 2.2)
 			if len(call.Commands) != 1 || *call.Commands[0].GraceS != float64(graceMs)/1000 {
-				t.Fatalf("the second stop is not called: %+v", call)
+				t.Fatalf("the second stop is not sent in a call: %+v", call)
 			}
 			registry.CallDone(at(2.3), call, Executed, newHeartbeat(1, 3, 5, saving))
 			if calls := registry.DueCalls(at(2.4)); len(calls) != 0 {
-				t.Errorf("delivered, it is called again: %+v", calls)
+				t.Errorf("the delivered stop is sent again: %+v", calls)
 			}
 		})
 	}
 }
 
-// A new leader has every machine called, a few at a time: the others wait for a call to
-// end, or are reached by the answers to their own heartbeats.
+// A new leader has every machine called, at most MaxCalls at a time. The other machines wait for a call
+// to end, or are reached by the answers to their own heartbeats.
 func TestMaxCalls(t *testing.T) {
 	registry := newTestRegistry()
 	registry.options.MaxCalls = 3
@@ -160,7 +159,7 @@
 	registry.HandleRound(at(1), newRound(5, 10, probes...))
 	calls := registry.DueCalls(at(1))
 	if len(calls) != 3 || len(registry.DueCalls(at(1))) != 0 {
-		t.Fatalf("%d calls at once, 3 are allowed", len(calls))
+		t.Fatalf("%d calls at once, want 3 until one ends", len(calls))
 	}
 	reached := map[string]bool{}
 	for len(calls) > 0 {
@@ -179,7 +178,7 @@
 	}
 }
 
-// A machine that does not answer a new leader's probe is not reported as one that joins.
+// A machine that does not answer a new leader's probe is not reported as joining, only later as silent.
 func TestUnansweredProbe(t *testing.T) {
 	registry := newTestRegistry()
 	registry.options.HeartbeatInterval = 4 * time.Second
@@ -188,11 +187,11 @@
 	round := newRound(5, 10)
 	round.Seen = seen
 	if response := registry.HandleRound(at(3), round); len(response.Machines) > 0 {
-		t.Errorf("the leader is told %v", response.Machines)
+		t.Errorf("reported to the leader: %v", response.Machines)
 	}
 	round = newRound(5, 20)
 	round.Seen = seen
 	if response := registry.HandleRound(at(10.5), round); len(response.Machines) != 1 || !response.Machines[0].Quiet {
-		t.Errorf("after long silence the leader is told %v", response.Machines)
+		t.Errorf("reported to the leader after long silence: %v", response.Machines)
 	}
 }
--- a/internal/workers/expiry_test.go
+++ b/internal/workers/expiry_test.go
@@ -8,8 +8,8 @@
 	"github.com/marlwood/marlwood/internal/peers/peerspb"
 )
 
-// An expired machine has no tasks left, and starts that were never handed
-// over count as decided; the lease runs from the last answer.
+// An expired machine has no tasks left, and starts that were never sent to it count as decided. The lease
+// runs from the last answer.
 func TestExpiry(t *testing.T) {
 	registry := newTestRegistry()
 	registry.HandleHeartbeat(at(1), newHeartbeat(1, 1, 5, model.TaskStatus{Task: "j/0", Attempt: 1, State: model.TaskRunning}))
@@ -22,14 +22,14 @@
 		t.Errorf("got %v", machine)
 	}
 	if result := registry.HandleHeartbeat(at(13), newHeartbeat(2, 1, 5)); len(result.Commands) > 0 {
-		t.Errorf("a void start was handed over: %v", result.Commands)
+		t.Errorf("a start from before the expiry is sent: %v", result.Commands)
 	}
 }
 
-// Every answer that extends a lease counts, also that to a heartbeat which the
-// response to a direct call overtook; and no answer brings an epoch back whose
-// end was reported.
-func TestLeaseIsCounted(t *testing.T) {
+// Every answer that extends a lease delays the expiry, including the answer to a heartbeat that the
+// response to a direct call overtook. An epoch whose end was reported gets no further answer under the
+// same token.
+func TestAnswersDelayExpiry(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		steps   func(registry *Registry) HeartbeatResult
@@ -46,7 +46,7 @@
 			registry.HandleHeartbeat(at(1.2), newHeartbeat(2, 3, 5))
 			return registry.HandleHeartbeat(at(5), newHeartbeat(1, 2, 5))
 		}, status: http.StatusOK, expired: true},
-		{name: "an epoch that only a direct call showed", steps: func(registry *Registry) HeartbeatResult {
+		{name: "an epoch that only the response to a direct call showed", steps: func(registry *Registry) HeartbeatResult {
 			registry.HandleRound(at(1), newRound(5, 20, newOrder(4, peerspb.Op_OP_START, 3)))
 			registry.CallDone(at(9), registry.DueCalls(at(1))[0], Refused, newHeartbeat(2, 1, 5))
 			return HeartbeatResult{Status: http.StatusOK}
@@ -83,18 +83,19 @@
 	}
 }
 
-// endCalls ends all calls that are due at one moment at another, in the same way.
-func endCalls(registry *Registry, sent, ended float64, outcome CallOutcome, response *model.Heartbeat) {
+// completeCalls completes all calls that are due at one time at a later time, with the same outcome.
+func completeCalls(registry *Registry, sent, ended float64, outcome CallOutcome, response *model.Heartbeat) {
 	for _, call := range registry.DueCalls(at(sent)) {
 		registry.CallDone(at(ended), call, outcome, response)
 	}
 }
 
-// What this registry knew of a machine says nothing about its lease once the pool
-// may have had another owner, which may have answered until the worker adopted our
-// token. The steps lead from an answer at 1 s under token 5, with no round of
-// token 6, under which another controller owned the pool, to token 7, under which
-// the pool is ours again. The lease is 10 s, the margin 1 s.
+// Once the pool may have had another owner, this registry's last contact with a machine does not show when
+// its lease ends, because the other owner may have answered the machine until it adopted our token. The
+// steps lead from an answer at 1 s under token 5 to token 7, under which the registry owns the pool again.
+// Under token 6 another controller owned the pool, and the registry received none of its rounds. The lease is
+// 10 s,
+// the margin 1 s.
 func TestLeaseAfterAnotherOwner(t *testing.T) {
 	probe := newProbe(1, "m1")
 	for _, test := range []struct {
@@ -105,25 +106,25 @@
 	}{
 		{name: "a probe's response shows our token", steps: func(registry *Registry) {
 			registry.HandleRound(at(30), newRound(7, 60, probe))
-			endCalls(registry, 30, 31, Executed, newHeartbeat(1, 40, 7, running("j/3")))
+			completeCalls(registry, 30, 31, Executed, newHeartbeat(1, 40, 7, running("j/3")))
 		}, live: 41, expired: 42.1},
 		{name: "a refused probe, then one that is executed", steps: func(registry *Registry) {
 			registry.HandleRound(at(30), newRound(7, 60, probe))
-			endCalls(registry, 30, 31, Refused, newHeartbeat(2, 40, 6, running("j/3")))
-			endCalls(registry, 32, 33, Executed, newHeartbeat(2, 41, 7, running("j/3")))
+			completeCalls(registry, 30, 31, Refused, newHeartbeat(2, 40, 6, running("j/3")))
+			completeCalls(registry, 32, 33, Executed, newHeartbeat(2, 41, 7, running("j/3")))
 		}, live: 43, expired: 44.1},
 		{name: "a heartbeat before it has seen our token", steps: func(registry *Registry) {
 			registry.HandleRound(at(30), newRound(7, 60, probe))
 			registry.HandleHeartbeat(at(31), newHeartbeat(1, 40, 6, running("j/3")))
 		}, live: 41, expired: 42.1},
-		{name: "nothing heard yet", steps: func(registry *Registry) {
+		{name: "no heartbeat or response yet", steps: func(registry *Registry) {
 			registry.HandleRound(at(30), newRound(7, 60, probe))
 		}, live: 40, expired: 41.1},
-		{name: "called again under our token, which extends nothing", steps: func(registry *Registry) {
+		{name: "called again under our token, which does not extend the lease", steps: func(registry *Registry) {
 			registry.HandleRound(at(30), newRound(7, 60, probe))
-			endCalls(registry, 30, 31, Executed, newHeartbeat(1, 40, 7, running("j/3")))
+			completeCalls(registry, 30, 31, Executed, newHeartbeat(1, 40, 7, running("j/3")))
 			registry.HandleRound(at(32), newRound(7, 60, newOrder(2, peerspb.Op_OP_START, 1)))
-			endCalls(registry, 32, 36, Executed, newHeartbeat(1, 41, 7, running("j/3")))
+			completeCalls(registry, 32, 36, Executed, newHeartbeat(1, 41, 7, running("j/3")))
 		}, live: 41, expired: 42.1},
 		{name: "the end was reported under the old token", steps: func(registry *Registry) {
 			registry.HandleRound(at(13), newRound(5, 20))
@@ -139,7 +140,7 @@
 				t.Error("reported as expired while another owner's answer may keep it alive")
 			}
 			if machine := registry.HandleRound(at(test.expired), newRound(7, 60)).Machines[0]; machine.Phase != string(Expired) {
-				t.Errorf("%s when its lease is surely over", machine.Phase)
+				t.Errorf("phase %s when its lease is certainly over", machine.Phase)
 			}
 		})
 	}
--- a/internal/workers/heartbeat_test.go
+++ b/internal/workers/heartbeat_test.go
@@ -20,7 +20,7 @@
 		{name: "no zone", change: func(heartbeat *model.Heartbeat) { heartbeat.Zone = "" }, text: "field yard: missing"},
 		{name: "no epoch", change: func(heartbeat *model.Heartbeat) { heartbeat.Session = 0 }, text: "field shift: missing"},
 		{name: "negative notice", change: func(heartbeat *model.Heartbeat) { heartbeat.NoticeS = &negative }, text: "field recallS: out of range"},
-		{name: "not a task", change: func(heartbeat *model.Heartbeat) { heartbeat.Tasks = []model.TaskStatus{{Task: "j"}} }, text: "field pieces: not a task: j"},
+		{name: "invalid task name", change: func(heartbeat *model.Heartbeat) { heartbeat.Tasks = []model.TaskStatus{{Task: "j"}} }, text: "field pieces: not a task: j"},
 		{name: "unknown state", change: func(heartbeat *model.Heartbeat) {
 			heartbeat.Tasks = []model.TaskStatus{{Task: "j/1", State: "resting"}}
 		}, text: "field pieces: unknown stage"},
--- a/internal/workers/helpers_test.go
+++ b/internal/workers/helpers_test.go
@@ -15,10 +15,10 @@
 // testPool is the pool that the registry under test owns.
 var testPool = &peerspb.Kind{Type: "big", Zone: "a"}
 
-// at is a moment so many seconds after the start.
+// at returns the time s seconds after testStart.
 func at(s float64) time.Time { return testStart.Add(time.Duration(s * float64(time.Second))) }
 
-// newTestRegistry is a registry with a delegated lease until 10 s under token 5, owning big in a.
+// newTestRegistry returns a registry that owns testPool and holds a delegated lease until 10 s under token 5.
 func newTestRegistry() *Registry {
 	options := Options{Member: "n0", Lease: 10 * time.Second, Margin: time.Second, MaxCalls: 100}
 	registry := NewRegistry(options, "boot", testStart, rand.New(rand.NewPCG(1, 2)))
@@ -27,7 +27,7 @@
 	return registry
 }
 
-// newRound is a leader's round that delegates a lease until some second.
+// newRound returns a leader's round that delegates a lease until the given second.
 func newRound(token uint64, until float64, orders ...*peerspb.Order) *peerspb.RoundRequest {
 	return &peerspb.RoundRequest{
 		Token:        token,
@@ -43,7 +43,7 @@
 	}
 }
 
-// newHeartbeat is a heartbeat of machine m1.
+// newHeartbeat returns a heartbeat of machine m1.
 func newHeartbeat(epoch, seq, token uint64, tasks ...model.TaskStatus) *model.Heartbeat {
 	return &model.Heartbeat{
 		Machine: "m1",
@@ -57,25 +57,25 @@
 	}
 }
 
-// newOrder is an order for machine m1 and attempt 9 of a task of job j.
+// newOrder returns an order for machine m1 and attempt 9 of a task of job j.
 func newOrder(id uint64, op peerspb.Op, index uint32) *peerspb.Order {
 	return &peerspb.Order{Id: id, Machine: "m1", Op: op, Job: "j", Index: index, Attempt: 9}
 }
 
-// newProbe is an order to probe a machine of the test's pool.
+// newProbe returns an order to probe a machine of testPool.
 func newProbe(id uint64, machine string) *peerspb.Order {
 	return &peerspb.Order{Id: id, Machine: machine, Op: peerspb.Op_OP_GREET, Addr: "x:1", Kind: testPool}
 }
 
-// inState is attempt 9 of a task in some state.
+// inState returns attempt 9 of a task in the given state.
 func inState(task string, state model.TaskState) model.TaskStatus {
 	return model.TaskStatus{Task: task, Attempt: 9, State: state}
 }
 
-// running is attempt 9 of a task that runs.
+// running returns attempt 9 of a running task.
 func running(task string) model.TaskStatus { return inState(task, model.TaskRunning) }
 
-// acknowledgeAll has the leader read all that a registry has to report, and acknowledge it.
+// acknowledgeAll has the leader read and acknowledge all changes of a registry.
 func acknowledgeAll(registry *Registry, s float64, token uint64, until float64, orders ...*peerspb.Order) {
 	change := registry.HandleRound(at(s), newRound(token, until)).Change
 	round := newRound(token, until, orders...)
@@ -83,7 +83,7 @@
 	registry.HandleRound(at(s), round)
 }
 
-// reportedMachine is what the leader is told of the one machine, nil if nothing.
+// reportedMachine returns the one machine as it is reported to the leader, or nil if none is reported.
 func reportedMachine(registry *Registry, s float64) *peerspb.Machine {
 	response := registry.HandleRound(at(s), newRound(registry.token, s+10))
 	if len(response.Machines) == 0 {
@@ -92,7 +92,7 @@
 	return response.Machines[0]
 }
 
-// onlyCall is the one direct call that is due.
+// onlyCall returns the one direct call that is due, and fails the test if there is not exactly one.
 func onlyCall(t *testing.T, registry *Registry, s float64) Call {
 	t.Helper()
 	calls := registry.DueCalls(at(s))
@@ -102,7 +102,7 @@
 	return calls[0]
 }
 
-// commandTexts lists commands by operation and task.
+// commandTexts returns the operation and task of each command.
 func commandTexts(commands []model.Command) []string {
 	var texts []string
 	for _, command := range commands {
--- a/internal/workers/lease_test.go
+++ b/internal/workers/lease_test.go
@@ -21,11 +21,11 @@
 		redirect  string
 	}{
 		{name: "owner under a lease", at: 1, heartbeat: newHeartbeat(1, 1, 5), status: http.StatusOK},
-		{name: "worker that has not seen the token", at: 1, heartbeat: newHeartbeat(1, 1, 0), status: http.StatusOK},
+		{name: "the worker has not seen the token", at: 1, heartbeat: newHeartbeat(1, 1, 0), status: http.StatusOK},
 		{name: "lease over", at: 10.1, heartbeat: newHeartbeat(1, 1, 5), status: http.StatusServiceUnavailable},
 		{name: "worker knows a higher token", at: 1, heartbeat: newHeartbeat(1, 1, 6), status: http.StatusServiceUnavailable},
 		{name: "another owner's machine", at: 1, heartbeat: otherOwners, status: http.StatusMisdirectedRequest, redirect: "n2"},
-		{name: "a pool nobody owns", at: 1, heartbeat: unowned, status: http.StatusServiceUnavailable},
+		{name: "a pool without an owner", at: 1, heartbeat: unowned, status: http.StatusServiceUnavailable},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			result := newTestRegistry().HandleHeartbeat(at(test.at), test.heartbeat)
@@ -40,31 +40,31 @@
 	}
 }
 
-// A lease that a partition held back is a moment in the past when it arrives; one
-// for another process, or under a lower token, has no effect at all.
-func TestLateLeases(t *testing.T) {
+// A lease that a partition delayed has already ended when it arrives. A lease for another process or under
+// a lower token has no effect.
+func TestOutdatedLeasesHaveNoEffect(t *testing.T) {
 	registry := newTestRegistry()
-	// The controller stands still from 1 s on: whatever it had in flight, the lease of
-	// 10 s is over when it wakes.
+	// The controller is suspended from 1 s on. When it resumes, its lease until 10 s is over, and its call
+	// must not be sent any more.
 	registry.HandleHeartbeat(at(1), newHeartbeat(1, 1, 0))
 	if calls := registry.DueCalls(at(1)); len(calls) != 1 || calls[0].Until.After(at(10)) {
 		t.Errorf("calls %+v", calls)
 	}
 	if result := registry.HandleHeartbeat(at(12), newHeartbeat(1, 2, 5)); result.Status != http.StatusServiceUnavailable || len(registry.DueCalls(at(12))) > 0 {
-		t.Errorf("answers %d after it woke", result.Status)
+		t.Errorf("answers %d after it resumed", result.Status)
 	}
 	registry = newTestRegistry()
 	registry.HandleRound(at(20), newRound(5, 9))
 	if registry.HoldsLease(at(20)) {
-		t.Error("a late lease counts")
+		t.Error("a late lease is accepted")
 	}
 	otherProcess := newRound(5, 100)
 	otherProcess.Boot = "before"
 	if response := registry.HandleRound(at(20), otherProcess); registry.HoldsLease(at(20)) || len(response.Machines) > 0 {
-		t.Error("a lease for an earlier process counts")
+		t.Error("a lease for an earlier process is accepted")
 	}
 	if response := registry.HandleRound(at(20), newRound(4, 100)); response.Token != 5 || registry.HoldsLease(at(20)) {
-		t.Error("a lease under a lower token counts")
+		t.Error("a lease under a lower token is accepted")
 	}
 	registry.HandleRound(at(5), newRound(6, 6))
 	if _, token := registry.Leader(); token != 6 || registry.HoldsLease(at(7)) {
@@ -72,8 +72,8 @@
 	}
 }
 
-// A process that adopted token 6 and was restarted accepts no lease from the
-// leader of token 5, although it remembers nothing.
+// A process that adopted token 6 and was restarted accepts no lease from the leader of token 5, although
+// it has lost its state.
 func TestRejectTokensBelow(t *testing.T) {
 	for _, test := range []struct {
 		name         string
@@ -96,15 +96,15 @@
 	}
 }
 
-// When its pool goes to another owner, a machine's record goes too: silence
-// here says nothing about it any more.
-func TestPoolMovesAway(t *testing.T) {
+// When its pool gets another owner, a machine is removed from the registry, so that its silence here is
+// not reported as an expiry.
+func TestMachinesOfLostPoolAreRemoved(t *testing.T) {
 	registry := newTestRegistry()
 	registry.HandleHeartbeat(at(1), newHeartbeat(1, 1, 5))
 	round := newRound(6, 100)
 	round.Owners[0].Member = "n2"
 	registry.HandleRound(at(2), round)
 	if response := registry.HandleRound(at(50), round); len(response.Machines) != 0 {
-		t.Errorf("still reports %v", response.Machines)
+		t.Errorf("still reported: %v", response.Machines)
 	}
 }
--- a/internal/workers/misdirected_test.go
+++ b/internal/workers/misdirected_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// A machine of another owner's pool is redirected, and the leader is told of its
-// heartbeat; while the owner hears nothing from the pool, it is sent elsewhere
-// rather than back to where it came from.
+// A machine of another owner's pool is redirected, and its heartbeat is reported to the leader. While the
+// owner receives no heartbeats from the pool, the machine is redirected to another controller and not to
+// the owner.
 func TestMisdirectedHeartbeats(t *testing.T) {
 	for _, test := range []struct {
 		name      string
@@ -15,9 +15,9 @@
 		status    int
 		redirect  string
 	}{
-		{name: "the owner hears its machines", status: http.StatusMisdirectedRequest, redirect: "n2"},
-		{name: "it hears nothing", elsewhere: []string{"n0", "n1"}, status: http.StatusMisdirectedRequest, redirect: "n1"},
-		{name: "nobody else is left", elsewhere: []string{"n0"}, status: http.StatusServiceUnavailable},
+		{name: "the owner receives the pool's heartbeats", status: http.StatusMisdirectedRequest, redirect: "n2"},
+		{name: "the owner receives no heartbeats", elsewhere: []string{"n0", "n1"}, status: http.StatusMisdirectedRequest, redirect: "n1"},
+		{name: "there is no other controller", elsewhere: []string{"n0"}, status: http.StatusServiceUnavailable},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			registry := newTestRegistry()
@@ -30,11 +30,11 @@
 				t.Errorf("answered %+v", result)
 			}
 			if got := registry.HandleRound(at(3), round).Knocks; len(got) != 1 || got[0] != "m1" {
-				t.Errorf("misdirected: %v", got)
+				t.Errorf("reported as misdirected: %v", got)
 			}
 			registry.HandleHeartbeat(at(3), heartbeat)
 			if got := registry.HandleRound(at(9), round).Knocks; len(got) != 0 {
-				t.Errorf("misdirected long ago: %v", got)
+				t.Errorf("reported as misdirected after too long: %v", got)
 			}
 		})
 	}
--- a/internal/workers/orders_test.go
+++ b/internal/workers/orders_test.go
@@ -9,16 +9,17 @@
 	"github.com/marlwood/marlwood/internal/peers/peerspb"
 )
 
-// orderStep is one step of a test of orders: a round with orders, then the direct call, then a heartbeat.
+// orderStep is one step of an order test: a round with orders, then the direct calls that are due, then a
+// heartbeat.
 type orderStep struct {
 	orders    []*peerspb.Order
-	call      []string         // commands of the direct call that is due
+	call      []string         // commands of the direct calls that are due
 	outcome   CallOutcome      // of that call
-	first     *model.Heartbeat // comes while the call is in flight
+	inCall    *model.Heartbeat // arrives while the call is in flight
 	response  *model.Heartbeat // of the call
-	heartbeat *model.Heartbeat // then this heartbeat comes
-	answer    []string         // and is answered with these commands
-	undecided []uint64         // starts that the leader is told are undecided
+	heartbeat *model.Heartbeat // arrives after the call
+	answer    []string         // commands in the answer to heartbeat
+	undecided []uint64         // starts reported to the leader as undecided
 	unsure    bool
 }
 
@@ -34,7 +35,7 @@
 	forget = peerspb.Op_OP_FORGET
 )
 
-// firstHeartbeat is a step in which the machine shows the token, and has no tasks.
+// firstHeartbeat is a step in which the machine shows the token and has no tasks.
 var firstHeartbeat = orderStep{heartbeat: newHeartbeat(1, 1, 5)}
 
 var (
@@ -43,9 +44,9 @@
 	exitedTask  = inState("j/1", model.TaskExited)
 )
 
-// answeredOrders are handed over in the answers to heartbeats.
+// answeredOrders tests orders that are sent in the answers to heartbeats.
 var answeredOrders = []orderTest{
-	{name: "a start is handed over once", steps: []orderStep{
+	{name: "a start is sent once", steps: []orderStep{
 		firstHeartbeat,
 		{
 			orders:    []*peerspb.Order{newOrder(1, start, 1)},
@@ -60,7 +61,7 @@
 			heartbeat: newHeartbeat(1, 2, 5), answer: []string{"start j/1"}, undecided: []uint64{1},
 		},
 	}},
-	{name: "stops are repeated also during a checkpoint: the last one ends it", steps: []orderStep{
+	{name: "stops are repeated during a checkpoint, so that a second stop can end it", steps: []orderStep{
 		{heartbeat: newHeartbeat(1, 1, 5, runningTask)},
 		{
 			orders:    []*peerspb.Order{newOrder(1, stop, 1)},
@@ -82,7 +83,7 @@
 		{heartbeat: newHeartbeat(1, 3, 5, runningTask), answer: []string{"stop j/1"}},
 		{heartbeat: newHeartbeat(1, 4, 5, exitedTask)},
 	}},
-	{name: "forgets are repeated until the task is out of the heartbeats", steps: []orderStep{
+	{name: "forgets are repeated until no heartbeat contains the task", steps: []orderStep{
 		{heartbeat: newHeartbeat(1, 1, 5, exitedTask)},
 		{
 			orders:    []*peerspb.Order{newOrder(1, forget, 1)},
@@ -109,7 +110,7 @@
 		},
 		{heartbeat: newHeartbeat(1, 6, 5, runningTask), answer: []string{"start j/2"}, undecided: []uint64{1}},
 	}},
-	{name: "a stop cancels a start that is still here", steps: []orderStep{
+	{name: "a stop cancels a start that is still queued", steps: []orderStep{
 		firstHeartbeat,
 		{
 			orders:    []*peerspb.Order{newOrder(1, start, 1), newOrder(2, start, 2), newOrder(3, stop, 2)},
@@ -117,7 +118,7 @@
 		},
 		{heartbeat: newHeartbeat(1, 3, 5)},
 	}},
-	{name: "a stop waits for a start that was handed over", steps: []orderStep{
+	{name: "a start that was already sent is followed by a stop", steps: []orderStep{
 		firstHeartbeat,
 		{
 			orders:    []*peerspb.Order{newOrder(1, start, 1)},
@@ -130,7 +131,7 @@
 	}},
 }
 
-// calledOrders are sent in direct calls.
+// calledOrders tests orders that are sent in direct calls.
 var calledOrders = []orderTest{
 	{name: "called and executed", direct: true, steps: []orderStep{
 		firstHeartbeat,
@@ -140,12 +141,12 @@
 			heartbeat: newHeartbeat(1, 3, 5, runningTask),
 		},
 	}},
-	// A heartbeat that overtook the call's response must not bring the start back.
-	{name: "executed, and a newer heartbeat is here", direct: true, steps: []orderStep{
+	// A heartbeat that overtook the call's response must not cause the start to be sent again.
+	{name: "executed, and a newer heartbeat arrived before the response", direct: true, steps: []orderStep{
 		{heartbeat: newHeartbeat(1, 7, 5, runningTask)},
 		{
 			orders: []*peerspb.Order{newOrder(1, start, 1)},
-			call:   []string{"start j/1"}, first: newHeartbeat(1, 9, 5, exitedTask), response: newHeartbeat(1, 8, 5),
+			call:   []string{"start j/1"}, inCall: newHeartbeat(1, 9, 5, exitedTask), response: newHeartbeat(1, 8, 5),
 		},
 		{
 			orders:    []*peerspb.Order{newOrder(2, forget, 1)},
@@ -153,7 +154,7 @@
 		},
 		{heartbeat: newHeartbeat(1, 11, 5)},
 	}},
-	{name: "refused, then handed over", direct: true, steps: []orderStep{
+	{name: "refused, then sent in an answer", direct: true, steps: []orderStep{
 		firstHeartbeat,
 		{
 			orders: []*peerspb.Order{newOrder(1, start, 1)},
@@ -162,8 +163,8 @@
 		},
 		{heartbeat: newHeartbeat(1, 3, 5)},
 	}},
-	// It may be carried out late, so it stays undecided until it shows.
-	{name: "unanswered, repeated until it shows", direct: true, steps: []orderStep{
+	// The start may be executed late, so it stays undecided until a heartbeat shows its task.
+	{name: "unanswered, repeated until a heartbeat shows the task", direct: true, steps: []orderStep{
 		firstHeartbeat,
 		{
 			orders: []*peerspb.Order{newOrder(1, start, 1)},
@@ -173,7 +174,7 @@
 		{heartbeat: newHeartbeat(1, 3, 5), answer: []string{"start j/1"}, undecided: []uint64{1}},
 		{heartbeat: newHeartbeat(1, 4, 5, runningTask)},
 	}},
-	// Forgotten, it could be started again by the late call.
+	// If the worker forgot the attempt, the late call could start it again.
 	{name: "unanswered, not forgotten in this epoch", direct: true, steps: []orderStep{
 		firstHeartbeat,
 		{
@@ -191,7 +192,7 @@
 			heartbeat: newHeartbeat(2, 2, 5, exitedTask), answer: []string{"forget j/1"},
 		},
 	}},
-	{name: "unanswered, then not wanted: undecided until the epoch moves on", direct: true, steps: []orderStep{
+	{name: "unanswered, then no longer wanted: undecided until the next epoch", direct: true, steps: []orderStep{
 		firstHeartbeat,
 		{
 			orders: []*peerspb.Order{newOrder(1, start, 1)},
@@ -206,19 +207,18 @@
 	}},
 }
 
-// TestOrders follows orders on both ways: answers to heartbeats, and direct calls
-// with every outcome.
+// TestOrders checks the delivery of orders in answers to heartbeats and in direct calls with every outcome.
 func TestOrders(t *testing.T) {
 	for _, test := range slices.Concat(answeredOrders, calledOrders) {
 		t.Run(test.name, func(t *testing.T) {
 			registry := newTestRegistry()
-			seen := uint64(0) // the last change that the leader has seen
+			seen := uint64(0) // last change that the leader has seen
 			for i, step := range test.steps {
 				round := newRound(5, 10, step.orders...)
 				round.Seen = seen
 				registry.HandleRound(at(0.1), round)
 				if test.direct {
-					if got := endStepCalls(t, registry, step); !reflect.DeepEqual(got, step.call) {
+					if got := completeStepCalls(t, registry, step); !reflect.DeepEqual(got, step.call) {
 						t.Errorf("step %d: calls %v, want %v", i, got, step.call)
 					}
 				}
@@ -231,15 +231,15 @@
 				response := registry.HandleRound(at(0.3), newRound(5, 10))
 				seen = response.Change
 				if len(response.Machines) != 1 || !reflect.DeepEqual(response.Machines[0].Undecided, step.undecided) || response.Machines[0].Unsure != step.unsure {
-					t.Errorf("step %d: the leader is told %v", i, response.Machines)
+					t.Errorf("step %d: reported to the leader: %v", i, response.Machines)
 				}
 			}
 		})
 	}
 }
 
-// endStepCalls makes the calls that are due in a step, ends them, and lists their commands.
-func endStepCalls(t *testing.T, registry *Registry, step orderStep) []string {
+// completeStepCalls completes the calls that are due in a step and returns their commands.
+func completeStepCalls(t *testing.T, registry *Registry, step orderStep) []string {
 	t.Helper()
 	var got []string
 	for _, call := range registry.DueCalls(at(0.1)) {
@@ -247,36 +247,36 @@
 		if len(registry.DueCalls(at(0.1))) > 0 {
 			t.Error("two calls at once")
 		}
-		if step.first != nil {
-			registry.HandleHeartbeat(at(0.2), step.first)
+		if step.inCall != nil {
+			registry.HandleHeartbeat(at(0.2), step.inCall)
 		}
 		registry.CallDone(at(0.2), call, step.outcome, step.response)
 		if step.outcome != Executed && len(registry.DueCalls(at(0.2))) > 0 {
-			t.Error("called again at once after a failure")
+			t.Error("another call is due right after a failed one")
 		}
 	}
 	return got
 }
 
-// The leader is told that a start which an answer carried was not carried out, also
-// when nothing else changes on the machine: that answer was lost.
+// An answer that carried a start was lost. The leader must learn that the start was not executed, even
+// when nothing else changes on the machine.
 func TestLostAnswerIsReported(t *testing.T) {
 	registry := newTestRegistry()
 	registry.HandleHeartbeat(at(2), newHeartbeat(1, 1, 5))
 	registry.HandleRound(at(2.5), newRound(5, 20, newOrder(1, start, 1)))
 	if result := registry.HandleHeartbeat(at(3), newHeartbeat(1, 2, 5)); len(result.Commands) != 1 {
-		t.Fatalf("handed over: %v", result.Commands)
+		t.Fatalf("commands in the answer: %v", result.Commands)
 	}
 	round := newRound(5, 20)
 	for _, test := range []struct {
 		name      string
-		seq       uint64 // of a heartbeat that comes before; 0: none
+		seq       uint64 // of a heartbeat before the round; 0: none
 		reported  bool
 		undecided int
 	}{
-		{name: "handed over", seq: 0, reported: true, undecided: 1},
+		{name: "sent in an answer", seq: 0, reported: true, undecided: 1},
 		{name: "the next heartbeat lacks it", seq: 3, reported: true, undecided: 0},
-		{name: "and so does another", seq: 4, reported: false, undecided: 0},
+		{name: "another heartbeat lacks it too", seq: 4, reported: false, undecided: 0},
 	} {
 		if test.seq > 0 {
 			registry.HandleHeartbeat(at(3+float64(test.seq)/10), newHeartbeat(1, test.seq, 5))
@@ -284,20 +284,20 @@
 		response := registry.HandleRound(at(3.5), round)
 		reported := len(response.Machines) > 0
 		if reported != test.reported || reported && len(response.Machines[0].Undecided) != test.undecided {
-			t.Errorf("%s: the leader is told %v", test.name, response.Machines)
+			t.Errorf("%s: reported to the leader: %v", test.name, response.Machines)
 		}
 		round.Seen = response.Change
 	}
 }
 
-// A start that a heartbeat has shown does not come back when the call that carried it goes
-// unanswered, whatever became of the epoch meanwhile; one that never showed does.
+// A start whose task a heartbeat has shown is not sent again when the call that carried it goes
+// unanswered, even if the epoch has changed meanwhile. A start whose task was never shown is sent again.
 func TestReportedStartIsDecided(t *testing.T) {
 	for _, test := range []struct {
 		name       string
 		heartbeats []*model.Heartbeat // while the call is in flight
 		outcome    CallOutcome
-		want       []string // handed over with the next heartbeat
+		want       []string // sent in the answer to the next heartbeat
 	}{
 		{
 			name:       "shown, then another epoch",
@@ -334,7 +334,7 @@
 			last := *test.heartbeats[len(test.heartbeats)-1]
 			last.Seq++
 			if got := commandTexts(registry.HandleHeartbeat(at(5), &last).Commands); !slices.Equal(got, test.want) {
-				t.Errorf("handed over %v, want %v", got, test.want)
+				t.Errorf("answered with %v, want %v", got, test.want)
 			}
 		})
 	}
--- a/internal/workers/reachability_test.go
+++ b/internal/workers/reachability_test.go
@@ -9,9 +9,9 @@
 	"github.com/marlwood/marlwood/internal/peers/peerspb"
 )
 
-// A machine whose heartbeats come, and that our answers don't reach, is found by
-// what it reports, gets no task, and is used again once it can be reached.
-func TestUnreachable(t *testing.T) {
+// A machine whose heartbeats arrive but which our answers do not reach is detected from its heartbeats. It
+// gets no tasks until it is reachable again.
+func TestUnreachableMachineGetsNoTasks(t *testing.T) {
 	start := newOrder(1, peerspb.Op_OP_START, 1)
 	restart := newOrder(2, peerspb.Op_OP_START, 1)
 	restart.Attempt = 11
@@ -35,10 +35,10 @@
 			{at: 14, heartbeat: newHeartbeat(2, 2, 5), unreachable: true},
 			{at: 23.5, heartbeat: newHeartbeat(2, 3, 5)},
 		}},
-		{name: "its epoch ends after a silence", steps: []unreachableStep{
+		{name: "its epoch ends after a long silence", steps: []unreachableStep{
 			{at: 12, heartbeat: newHeartbeat(2, 1, 5)},
 		}},
-		{name: "starts do not show", steps: []unreachableStep{
+		{name: "no heartbeat shows the started tasks", steps: []unreachableStep{
 			{at: 1, order: start, heartbeat: newHeartbeat(1, 3, 5)},
 			{at: 2, order: restart, heartbeat: newHeartbeat(1, 4, 5)},
 			{at: 3, heartbeat: newHeartbeat(1, 5, 5), unreachable: true},
@@ -69,7 +69,7 @@
 	checkCallConfirmsReachability(t)
 }
 
-// A call that an unreachable machine answers shows that it can be reached.
+// checkCallConfirmsReachability checks that a machine counts as reachable once it answers a call.
 func checkCallConfirmsReachability(t *testing.T) {
 	t.Helper()
 	registry := newTestRegistry()
@@ -78,21 +78,22 @@
 	}
 	registry.CallDone(at(1.1), onlyCall(t, registry, 1), Executed, newHeartbeat(2, 2, 5))
 	if machine := reportedMachine(registry, 1.2); machine.Unreached {
-		t.Errorf("it answered: %v", machine)
+		t.Errorf("unreachable although it answered a call: %v", machine)
 	}
 }
 
-// In a failover a machine that our answers don't reach cannot show the token. Its lease runs out, for
-// it is answered once only, and the failover goes on; one that is called in time goes on.
-func TestUnreachableDuringFailover(t *testing.T) {
+// In a failover a machine that our answers do not reach cannot show the token. It is answered only once,
+// so its lease runs out and the failover need not wait for it any longer. A machine that a call reaches in
+// time stays current.
+func TestUnreachableMachineExpiresDuringFailover(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		token  uint64 // that its heartbeats show
-		called bool   // with success
+		called bool   // whether direct calls succeed
 		phases []string
 	}{
 		{name: "calls fail", token: 4, called: false, phases: []string{"joining", "joining", "joining", "expired"}},
-		{name: "called", token: 5, called: true, phases: []string{"current", "current", "current", "current"}},
+		{name: "calls succeed", token: 5, called: true, phases: []string{"current", "current", "current", "current"}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			registry := newTestRegistry()
--- a/internal/workers/rounds_test.go
+++ b/internal/workers/rounds_test.go
@@ -7,9 +7,9 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// The size of a round's response grows with what changed, not with the machines
-// there are: a heartbeat that says nothing new costs the leader nothing.
-func TestWorkPerRound(t *testing.T) {
+// The size of a round's response depends on the number of changed machines, not on the total number: a
+// heartbeat without changes causes no work for the leader.
+func TestRoundReportsOnlyChangedMachines(t *testing.T) {
 	for _, test := range []struct {
 		machines, same, changed int
 	}{
--- a/internal/workers/samples_test.go
+++ b/internal/workers/samples_test.go
@@ -28,7 +28,7 @@
 		registry.HandleHeartbeat(at(1), heartbeat)
 	}
 	want := &peerspb.Want{Id: 7, Size: &peerspb.Size{Cpus: 2}, Kinds: []*peerspb.Kind{testPool}, Spot: true, Draws: 40}
-	sample := func() map[string]int { // how often each machine is named
+	sample := func() map[string]int { // how often each machine is sampled
 		round := newRound(5, 10)
 		round.Wants = []*peerspb.Want{want}
 		names := map[string]int{}
@@ -56,7 +56,7 @@
 	}
 }
 
-// throughWire is a round as it arrives over the wire.
+// throughWire encodes and decodes a round, as if it were sent over the network.
 func throughWire(t *testing.T, round *peerspb.RoundRequest) *peerspb.RoundRequest {
 	t.Helper()
 	encoded, err := proto.Marshal(round)
@@ -70,20 +70,20 @@
 	return arrived
 }
 
-// An owner forgets the sizes of jobs that it is told without one. A machine that runs a task of
-// such a job isn't sampled until the task is gone; the others' occupancy is known as before.
-func TestSizesAreForgotten(t *testing.T) {
+// An owner removes a job's size when a round lists the job without a size. A machine that runs a task of
+// such a job is not sampled until it no longer has the task. The occupancy of other machines stays known.
+func TestSizesOfEndedJobsAreRemoved(t *testing.T) {
 	registry := newTestRegistry()
 	for i := range 3000 {
 		id := fmt.Sprintf("req-%06d", i)
-		known, over := newRound(5, 10), newRound(5, 10)
+		known, ended := newRound(5, 10), newRound(5, 10)
 		known.Sizes = []*peerspb.JobSize{{Job: id, Size: &peerspb.Size{}}}
-		over.Sizes = []*peerspb.JobSize{{Job: id}}
+		ended.Sizes = []*peerspb.JobSize{{Job: id}}
 		registry.HandleRound(at(1), throughWire(t, known))
 		if _, ok := registry.jobSizes[id]; !ok {
 			t.Fatalf("%s is not known", id)
 		}
-		registry.HandleRound(at(1), throughWire(t, over))
+		registry.HandleRound(at(1), throughWire(t, ended))
 	}
 	if len(registry.jobSizes) != 1 {
 		t.Errorf("%d sizes are left", len(registry.jobSizes))
@@ -91,17 +91,17 @@
 	for _, test := range []struct {
 		name    string
 		tasks   []model.TaskStatus
-		over    bool
+		ended   bool
 		sampled int
 	}{
-		{name: "runs a task of a job that is known", tasks: []model.TaskStatus{running("j/0")}, over: false, sampled: 1},
-		{name: "runs a task of a job that is over", tasks: []model.TaskStatus{running("j/0")}, over: true, sampled: 0},
-		{name: "runs nothing", over: true, sampled: 1},
+		{name: "runs a task of a job with a known size", tasks: []model.TaskStatus{running("j/0")}, ended: false, sampled: 1},
+		{name: "runs a task of an ended job", tasks: []model.TaskStatus{running("j/0")}, ended: true, sampled: 0},
+		{name: "runs nothing", ended: true, sampled: 1},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			registry := newTestRegistry()
 			round := newRound(5, 10)
-			if test.over {
+			if test.ended {
 				round.Sizes = []*peerspb.JobSize{{Job: "j"}}
 			}
 			registry.HandleRound(at(1), round)
--- a/internal/workers/scale_test.go
+++ b/internal/workers/scale_test.go
@@ -11,8 +11,8 @@
 	"github.com/marlwood/marlwood/internal/peers/peerspb"
 )
 
-// newRegistryWith is a registry that owns so many machines, each current, a quarter with a task, and
-// their heartbeats; its leader has seen all of its changes, up to the one returned.
+// newRegistryWith returns a registry that owns the given number of current machines, a quarter of them
+// with a task, the machines' heartbeats, and the registry's last change. The leader has seen all changes.
 func newRegistryWith(t testing.TB, machines int) (*Registry, []*model.Heartbeat, uint64) {
 	t.Helper()
 	options := Options{
@@ -49,16 +49,17 @@
 	return registry, heartbeats, seen
 }
 
-// newQuietRound is a round of a leader that has seen all changes up to one.
-func newQuietRound(seen uint64) *peerspb.RoundRequest {
+// newUnchangedRound returns a round without orders or sizes, from a leader that has seen all changes up to
+// the given one.
+func newUnchangedRound(seen uint64) *peerspb.RoundRequest {
 	round := newRound(5, 1e6)
 	round.Seen, round.Sizes = seen, nil
 	return round
 }
 
-// A heartbeat that says nothing new and a round that brings nothing cost the same at any
-// number of machines, by allocations and by what the leader is told.
-func TestQuietRegistryDoesNotGrow(t *testing.T) {
+// The allocations of a heartbeat without changes and of a round without orders do not grow with the number
+// of machines, and such a heartbeat reports nothing to the leader.
+func TestUnchangedHeartbeatCostIsConstant(t *testing.T) {
 	cost := map[int]float64{}
 	for _, machines := range []int{1000, 16000} {
 		registry, heartbeats, seen := newRegistryWith(t, machines)
@@ -67,29 +68,30 @@
 			heartbeat := heartbeats[i%len(heartbeats)]
 			heartbeat.Seq++
 			if result := registry.HandleHeartbeat(at(2), heartbeat); result.NotifyLeader || len(registry.DueCalls(at(2))) > 0 {
-				t.Fatal("a heartbeat that says nothing new changes something")
+				t.Fatal("a heartbeat without changes notifies the leader or causes a call")
 			}
-			if response := registry.HandleRound(at(2), newQuietRound(seen)); len(response.Machines) > 0 {
-				t.Fatalf("the leader is told of %d machines of which nothing is new", len(response.Machines))
+			if response := registry.HandleRound(at(2), newUnchangedRound(seen)); len(response.Machines) > 0 {
+				t.Fatalf("%d unchanged machines are reported to the leader", len(response.Machines))
 			}
 			i++
 		})
 	}
 	t.Logf("%g allocations", cost[1000])
 	if cost[1000] > 16 {
-		t.Errorf("a quiet heartbeat and a quiet round take %g allocations", cost[1000])
+		t.Errorf("a heartbeat and a round without changes take %g allocations", cost[1000])
 	}
 	if cost[16000] >= 2*max(cost[1000], 1) {
 		t.Errorf("a heartbeat and a round take %g allocations with 1000 machines, %g with 16000", cost[1000], cost[16000])
 	}
 }
 
-// Missed heartbeats are found however long others are heard in between, reported once, and taken back.
+// Missed heartbeats are detected while other machines keep sending theirs, are reported once, and are
+// cleared when the machine sends a heartbeat again.
 func TestMissedHeartbeatsAmongMany(t *testing.T) {
 	registry, heartbeats, _ := newRegistryWith(t, 50)
 	registry.options.Lease = 20 * time.Second
 	reported := func(s float64, seen uint64) (uint64, map[string]string) {
-		response, machines := registry.HandleRound(at(s), newQuietRound(seen)), map[string]string{}
+		response, machines := registry.HandleRound(at(s), newUnchangedRound(seen)), map[string]string{}
 		for _, machine := range response.Machines {
 			machines[machine.Name] = fmt.Sprint(machine.Phase, " ", machine.Quiet)
 		}
@@ -114,14 +116,14 @@
 		}
 		var machines map[string]string
 		if seen, machines = reported(step.at, seen); fmt.Sprint(machines) != step.want {
-			t.Errorf("at %v s the leader is told %v, not %s", step.at, machines, step.want)
+			t.Errorf("reported to the leader at %v s: %v, want %s", step.at, machines, step.want)
 		}
 	}
 	back := heartbeats[7]
 	back.Session++
 	registry.HandleHeartbeat(at(27), back)
 	if _, machines := reported(28, seen); fmt.Sprint(machines) != "map[vm-000007:current false]" {
-		t.Errorf("a machine that is back: the leader is told %v", machines)
+		t.Errorf("reported to the leader when a machine sends heartbeats again: %v", machines)
 	}
 }
 
@@ -146,13 +148,13 @@
 			registry, _, seen := newRegistryWith(b, machines)
 			b.ReportAllocs()
 			for b.Loop() {
-				registry.HandleRound(at(2), newQuietRound(seen))
+				registry.HandleRound(at(2), newUnchangedRound(seen))
 			}
 		})
 	}
 }
 
-// A restart: every machine of an owner is probed, called and answers.
+// BenchmarkProbeAll measures an owner's restart: every machine is probed, called and responds.
 func BenchmarkProbeAll(b *testing.B) {
 	for _, machines := range []int{1000, 4000, 16000} {
 		b.Run(fmt.Sprintf("machines=%d", machines), func(b *testing.B) {
