--- a/internal/workers/acknowledge.go
+++ b/internal/workers/acknowledge.go
@@ -88,9 +88,10 @@
 	return now.Sub(wait.waitSince) >= slowLeaderWait && reg.leaseRounds > wait.waitRounds
 }
 
-// extendGrace sets, when a new token is adopted, until when a machine may be answered before the next
-// leader has acknowledged its tasks. Tasks cancelled before the last leader read the jobs have already
-// been stopped on the machine, and tasks cancelled after that read may run for CancelGrace from then on.
+// extendGrace is called when a new token is adopted. It sets the time until which a machine may be answered
+// before the next leader has acknowledged its tasks. Tasks cancelled before the last leader read the jobs
+// have already been stopped on the machine, and tasks cancelled after that read may run for CancelGrace
+// from then on.
 //
 // Guard: a new leader with little processor time takes seconds to acknowledge the tasks of thousands of
 // machines. Their heartbeats were not answered meanwhile, so their leases ran out and all of their tasks
--- a/internal/workers/expiry_test.go
+++ b/internal/workers/expiry_test.go
@@ -93,9 +93,8 @@
 // Once the pool may have had another owner, this registry's last contact with a machine does not show when
 // its lease ends, because the other owner may have answered the machine until it adopted our token. The
 // steps lead from an answer at 1 s under token 5 to token 7, under which the registry owns the pool again.
-// Under token 6 another controller owned the pool, and the registry received none of its rounds. The lease is
-// 10 s,
-// the margin 1 s.
+// Under token 6 another controller owned the pool, and the registry received no round of token 6. The
+// lease is 10 s, the margin 1 s.
 func TestLeaseAfterAnotherOwner(t *testing.T) {
 	probe := newProbe(1, "m1")
 	for _, test := range []struct {
--- a/internal/workers/registry.go
+++ b/internal/workers/registry.go
@@ -1,6 +1,6 @@
 // Package workers implements the registry of the workers whose machine pools this controller owns. The
 // registry handles the workers' heartbeats under the lease that the leader delegates, answers them with
-// the leader's commands, and reports changes to the leader in its rounds.
+// the leader's commands, and reports changes to the leader in its sampling rounds.
 //
 // The registry keeps its state only in memory and performs no I/O: the caller passes in the time and
 // sends the answers and direct calls. It is not safe for concurrent use.
