--- a/internal/leadership/action.go
+++ b/internal/leadership/action.go
@@ -1,11 +1,11 @@
 package leadership
 
-// Key is the key whose revision is the fencing token.
+// Key is the store key that elects the leader. Its revision is the fencing token.
 const Key = "leader"
 
-// LeaderRecord is the value of the key. Boot and Attempt make every attempt of every process distinct, so
-// that a read can recognise an attempt whose answer was lost. Lease is the store's lease that the key is
-// attached to; 0 means that an earlier version wrote the record.
+// LeaderRecord is the value stored under Key. Boot and Attempt make every attempt of every process distinct,
+// so that a process that reads the key can recognise its own attempt whose response was lost. Lease is the
+// store lease that the key is attached to; 0 means that an earlier version wrote the record.
 type LeaderRecord struct {
 	Member  string `json:"member"`
 	Boot    string `json:"boot"`
@@ -16,15 +16,15 @@
 // Action is a request that the caller must send.
 type Action struct {
 	Op       Op
-	Record   LeaderRecord // value to write, of WriteKey
-	Revision uint64       // revision that the key must have, of WriteKey; 0: it must be absent
-	Lease    uint64       // lease to attach the key to or to keep alive, of WriteKey and KeepAlive
+	Record   LeaderRecord // WriteKey: the value to write
+	Revision uint64       // WriteKey: the revision that the key must have; 0: the key must be absent
+	Lease    uint64       // WriteKey: the lease to attach the key to; KeepAlive: the lease to keep alive
 }
 
 // Op is the kind of an Action.
 type Op int
 
-// The kinds of actions, each with the events that report its outcome.
+// The kinds of actions, each with the Elector methods that report its outcome.
 const (
 	ReadKey    Op = iota // read the key: KeyRead or ReadFailed
 	GrantLease           // create a lease: LeaseGranted or LeaseFailed
--- a/internal/leadership/elector.go
+++ b/internal/leadership/elector.go
@@ -1,48 +1,49 @@
 // Package leadership implements leader election over one key of a consensus-backed key-value store.
 //
-// The process that wrote the key's present value leads; the key's revision is the fencing token of its
-// term. The key is attached to a lease of the store, so that it disappears when its leader stops keeping
-// the lease alive. Elector is a pure state machine in the style of etcd's raft: methods report events
-// together with their time, returned Actions say what the caller must do, and the outcome of each action
-// comes back as a further event. It does no input or output, holds no clock and starts no goroutine.
-// Because of that it isn't safe for concurrent use.
+// The process that wrote the current value of the key is the leader; the key's revision is the fencing token
+// of its term. The key is attached to a lease in the store, so the store deletes it when the leader stops
+// keeping the lease alive. Elector is a pure state machine in the style of etcd's raft: the caller reports
+// events and their times through its methods, executes the Actions that they return, and reports the outcome
+// of each action as a further event. Elector does no input or output, reads no clock and starts no goroutine.
+// It isn't safe for concurrent use.
 //
 // # Contract
 //
-// The caller passes Tick at short intervals, executes each returned action once, and reports its outcome:
+// The caller calls Tick at short intervals, executes each returned action once, and reports its outcome:
 //
-//	ReadKey     KeyRead, or ReadFailed without a usable answer
+//	ReadKey     KeyRead, or ReadFailed without a usable response
 //	GrantLease  LeaseGranted or LeaseFailed
 //	WriteKey    KeyWritten
 //	KeepAlive   KeepAliveDone
 //
-// Outcomes may come late and in any order, and an action without an answer may have been executed: such
-// an outcome changes nothing by itself, the next read of the key decides. "sent" is always the time at
-// which the request was sent, because the answer is no newer than that.
+// Outcomes may be reported late and in any order. An action without a response may have been executed, so its
+// outcome is unknown until the next read of the key. The parameter sent is always the time at which the
+// request was sent, because the response may show the store's state as early as that.
 //
 // # Transitions
 //
 // Only setState changes the state.
 //
-//	Following   -> Campaigning  a read finds no leader, or an earlier process of this member
-//	Following   -> Leading      a read finds that an unanswered attempt was executed after all
+//	Following   -> Campaigning  a read finds no leader, or the record of an earlier process of this member
+//	Following   -> Leading      a read finds that an attempt without a response was executed
 //	Campaigning -> Leading      the write of the key succeeded
 //	Campaigning -> Following    the lease or the write failed, or its outcome is unknown
-//	Leading     -> Following    a read finds the key gone or another's, or a higher token was observed
+//	Leading     -> Following    a read finds the key absent or written by another process, or a higher token
+//	                            was observed
 //
 // # Invariant
 //
-// HoldsLease is true for no longer than Options.ValidFor after the older of the last successful check of
-// the key and the last complete view of the jobs. That bound rests on the local clock alone: it ends by
-// itself. It doesn't exclude that another process has been elected meanwhile; the fencing token decides
-// between the orders of the two. Token never decreases while the process leads.
+// HoldsLease returns true for no longer than Options.ValidFor after the older of the last successful check of
+// the key and the last complete view of the jobs. The bound depends only on the local clock, so it expires
+// without any event. Another process may have been elected meanwhile; the fencing token then decides whose
+// orders are executed. Token never decreases while the process leads.
 package leadership
 
 import (
 	"time"
 )
 
-// keepAlivesPerTTL is how often the lease is kept alive within its time to live.
+// keepAlivesPerTTL is the number of keep-alives sent within the lease's time to live.
 const keepAlivesPerTTL = 4
 
 // State is the state of a process in the election.
@@ -50,12 +51,12 @@
 
 // The states of a process.
 const (
-	Following   State = iota // another process leads, or none is known to
-	Campaigning              // granting a lease or writing the key is under way
-	Leading                  // the key is this process's
+	Following   State = iota // another process leads, or no leader is known
+	Campaigning              // a lease grant or a write of the key is in flight
+	Leading                  // this process wrote the current value of the key
 )
 
-// String returns the state's name in log lines.
+// String returns the name of the state used in log lines.
 func (s State) String() string { return [...]string{"following", "claiming", "leading"}[s] }
 
 // Options identify a process and set the intervals of its election.
@@ -64,25 +65,25 @@
 	Boot         string        // unique to this process
 	PollInterval time.Duration // between reads of the key
 	LeaseTTL     time.Duration // time to live of the key's lease
-	ValidFor     time.Duration // how long a successful check entitles to act as leader
+	ValidFor     time.Duration // how long the process may act as leader after a successful check
 }
 
-// Elector is the election's state machine of one process. See the package comment for its contract.
+// Elector is the election state machine of one process. See the package comment for its contract.
 type Elector struct {
 	options Options
 	state   State
 
 	attempt     int    // number of the last attempt to write the key
-	lease       uint64 // lease of the key, or of the attempt under way
-	keyRevision uint64 // revision that the attempt under way expects
-	token       uint64 // fencing token of the present term
-	renewing    bool   // the leader itself is rewriting the key, for a new token
+	lease       uint64 // lease of the key, or of the current attempt
+	keyRevision uint64 // revision that the current attempt expects the key to have
+	token       uint64 // fencing token of the current term
+	renewing    bool   // the leader is rewriting its own key to get a new token
 
 	highestToken uint64 // highest token observed anywhere
-	minToken     uint64 // tokens below it were superseded when this process first read the key; 0: it has not yet
+	minToken     uint64 // lower tokens were superseded when this process first read the key; 0: no read yet
 
-	lastCheck    time.Time // when the last request was sent whose answer showed that the key is this process's
-	lastJobsView time.Time // when the last request was sent whose answer showed all jobs and cancellations
+	lastCheck    time.Time // send time of the last request whose response showed that this process holds the key
+	lastJobsView time.Time // send time of the last request whose response showed all jobs and cancellations
 
 	readInFlight      bool
 	nextRead          time.Time
@@ -90,10 +91,10 @@
 	nextKeepAlive     time.Time
 }
 
-// New returns the state machine of a process that follows.
+// New returns an Elector in the state Following.
 func New(options Options) *Elector { return &Elector{options: options} }
 
-// State returns the present state.
+// State returns the current state.
 func (e *Elector) State() State { return e.state }
 
 // Token returns the fencing token while leading, else 0.
@@ -104,8 +105,8 @@
 	return e.token
 }
 
-// MinToken returns the bound below which tokens were superseded when this process first read the key, or
-// 0 before any read has succeeded.
+// MinToken returns the lowest token that was not yet superseded when this process first read the key, or 0
+// before any read has succeeded.
 func (e *Elector) MinToken() uint64 { return e.minToken }
 
 // HoldsLease reports whether the process may act as leader now.
@@ -113,8 +114,8 @@
 	return now.Before(e.LeaseExpiry())
 }
 
-// LeaseExpiry returns when the process may no longer act as leader unless another check succeeds; zero
-// while another process may lead.
+// LeaseExpiry returns the time from which the process may no longer act as leader unless another check
+// succeeds. It returns the zero time while the process is not the leader.
 func (e *Elector) LeaseExpiry() time.Time {
 	if e.state != Leading {
 		return time.Time{}
@@ -125,27 +126,28 @@
 	return e.lastCheck.Add(e.options.ValidFor)
 }
 
-// LastCheck returns when the last successful check of the key was sent.
+// LastCheck returns the time at which the last successful check of the key was sent.
 func (e *Elector) LastCheck() time.Time { return e.lastCheck }
 
-// LastJobsView returns when the last request was sent whose answer showed all jobs.
+// LastJobsView returns the send time of the last request whose response showed all jobs.
 func (e *Elector) LastJobsView() time.Time { return e.lastJobsView }
 
 // ObserveJobs records that the process knows all jobs and all cancellations, as of a request that was
 // sent at sent.
 //
-// Guard: the key shows that no other process leads, not that this one knows what users have submitted and
-// cancelled meanwhile. In a one-way partition a leader received nothing for twenty seconds while its own
-// keep-alives preserved the key. Then a check of the key succeeded before the jobs were read, and it
-// started tasks of a job that had been cancelled all that time ago. TestViewCounts shows it.
+// Guard: the key shows that no other process leads, but not that this process knows what users have submitted
+// and cancelled meanwhile. In a one-way partition a leader received nothing for twenty seconds while its own
+// keep-alives preserved the key. Then a check of the key succeeded before the jobs were read, and the leader
+// started tasks of a job that had been cancelled during those twenty seconds.
+// TestLeaseCountsFromOlderOfCheckAndJobsView shows it.
 func (e *Elector) ObserveJobs(sent time.Time) {
 	if sent.After(e.lastJobsView) {
 		e.lastJobsView = sent
 	}
 }
 
-// ObserveToken records a token seen in any message. A higher one than its own deposes a leader, unless it
-// is renewing its token: then the higher one may be its own.
+// ObserveToken records a token seen in any message. A leader that observes a higher token than its own steps
+// down, unless it is renewing its token: the higher token may then be its own new one.
 func (e *Elector) ObserveToken(now time.Time, token uint64) {
 	e.highestToken = max(e.highestToken, token)
 	if e.state == Leading && token > e.token && !e.renewing {
@@ -169,14 +171,14 @@
 	}
 }
 
-// beginTerm starts to lead under a token. There is no job yet that this process could have an outdated
-// view of, so the check counts as a view of the jobs too.
+// beginTerm starts a term under a token. The process has no jobs yet whose state could be outdated, so the
+// check also counts as a view of the jobs.
 func (e *Elector) beginTerm(now, sent time.Time, token uint64) {
 	e.token, e.lastCheck, e.lastJobsView = token, sent, sent
 	e.setState(Leading, now)
 }
 
-// confirmTerm records a successful check of the key, which may show a renewed token.
+// confirmTerm records a successful check of the key and its token, which may be a renewed one.
 func (e *Elector) confirmTerm(sent time.Time, token uint64) {
 	e.token, e.lastCheck = token, sent
 }
@@ -197,8 +199,8 @@
 	return actions
 }
 
-// KeyRead reports the answer to a read that was sent at sent. revision is that of the key, or the store's
-// at which the key was absent.
+// KeyRead reports the response to a read that was sent at sent. The revision is that of the key, or, if the
+// key was absent, that of the store at the time of the read.
 func (e *Elector) KeyRead(now, sent time.Time, found bool, record LeaderRecord, revision uint64) []Action {
 	e.readInFlight = false
 	e.initMinToken(found, revision)
@@ -208,12 +210,12 @@
 		e.keyReadLeading(now, read)
 	case Following:
 		return e.keyReadFollowing(now, read)
-	case Campaigning: // the answer to the write, or a later read, decides
+	case Campaigning: // the response to the write, or a later read, decides the attempt
 	}
 	return nil
 }
 
-// keyRead is the answer to a read of the key.
+// keyRead is the response to a read of the key.
 type keyRead struct {
 	sent     time.Time
 	found    bool
@@ -226,19 +228,19 @@
 	return read.found && read.record.Member == e.options.Member && read.record.Boot == e.options.Boot
 }
 
-// isAnothers reports whether the value that was read belongs to another member, or is an outdated one of
-// this member's earlier process.
-func (e *Elector) isAnothers(read keyRead) bool {
+// isHeldByOther reports whether the value that was read was written by another member, or is an outdated
+// value of an earlier process of this member.
+func (e *Elector) isHeldByOther(read keyRead) bool {
 	return read.found && (read.record.Member != e.options.Member || read.revision < e.highestToken)
 }
 
-// initMinToken sets the bound of superseded tokens at the first successful read.
+// initMinToken sets minToken at the first successful read.
 func (e *Elector) initMinToken(found bool, revision uint64) {
 	if e.minToken != 0 {
 		return
 	}
 	e.minToken = revision
-	if !found { // whoever held the key up to this revision has lost it
+	if !found { // every leader whose token is at most this revision has lost the key
 		e.minToken++
 	}
 }
@@ -248,32 +250,34 @@
 	ours := e.isOurs(read)
 	switch {
 	case ours && read.record.Attempt >= 1 && read.revision >= e.token:
-		// A renewal whose answer was lost shows as a higher revision.
+		// A higher revision shows that a renewal whose response was lost was executed.
 		e.confirmTerm(read.sent, read.revision)
 	case ours && read.revision < e.token:
-		// The read was executed before the renewal: it says nothing about the present value.
+		// The read was executed before the renewal, so it does not show the current value.
 	default:
 		e.setState(Following, now)
 	}
 }
 
-// keyReadFollowing resumes an attempt that was executed after all, or begins one if there is no leader.
+// keyReadFollowing begins the term of an earlier attempt if the read shows that it was executed, or begins a
+// new attempt if there is no leader.
 func (e *Elector) keyReadFollowing(now time.Time, read keyRead) []Action {
 	ours := e.isOurs(read)
 	if ours && read.revision < e.highestToken {
-		// Guard: a read from before the key was lost, which arrives after a higher token was
-		// observed. Leading again under the old token would number orders and attempts from the
-		// start, while earlier ones with the same numbers may still arrive. TestTransitions shows it.
+		// Guard: this response is to a read that was executed before the process lost the key, and it
+		// arrives after a higher token was observed. A second term under the old token would number
+		// orders and attempts from the start, while earlier ones with the same numbers may still
+		// arrive. TestTransitions shows it.
 		return nil
 	}
 	if ours {
 		e.resumeAttempt(now, read)
 		return nil
 	}
-	if e.isAnothers(read) {
+	if e.isHeldByOther(read) {
 		return nil
 	}
-	// No process holds the key, or an earlier process of this member does, which cannot act any more.
+	// No process holds the key, or an earlier process of this member holds it, which can no longer act.
 	e.keyRevision = 0
 	if read.found {
 		e.keyRevision = read.revision
@@ -282,11 +286,12 @@
 	return []Action{{Op: GrantLease}}
 }
 
-// resumeAttempt begins the term of an attempt whose answer never came.
+// resumeAttempt begins the term of an attempt whose response never arrived.
 //
-// Guard: it may be an earlier attempt than the last one. The key expires with the lease of the attempt
-// that was executed; when the lease of the last attempt was kept alive instead, the key disappeared
-// within its five seconds, in the middle of the failover. TestLateClaimKeepsItsHold shows it.
+// Guard: the executed attempt may be an earlier one than the last. The key expires with the lease of the
+// attempt that was executed. When the leader kept the lease of the last attempt alive instead, the key expired
+// within the lease's five seconds, in the middle of the failover.
+// TestLateAttemptKeepsItsOwnLeaseAlive shows it.
 func (e *Elector) resumeAttempt(now time.Time, read keyRead) {
 	if read.record.Lease != 0 {
 		e.lease = read.record.Lease
@@ -294,7 +299,7 @@
 	e.beginTerm(now, read.sent, read.revision)
 }
 
-// ReadFailed reports a read without a usable answer.
+// ReadFailed reports a read without a usable response.
 func (e *Elector) ReadFailed(time.Time) { e.readInFlight = false }
 
 // LeaseGranted continues an attempt with the lease that was created for it.
@@ -313,8 +318,8 @@
 	}
 }
 
-// RenewToken asks for a new token within the same term. Orders under the old token become void wherever
-// they are still under way.
+// RenewToken requests a new token within the same term. Orders under the old token that are still in
+// flight become invalid.
 func (e *Elector) RenewToken(time.Time) []Action {
 	if e.state != Leading || e.renewing {
 		return nil
@@ -324,7 +329,7 @@
 	return []Action{e.writeKey(e.token)}
 }
 
-// writeKey returns the compare-and-swap of the key for the present attempt.
+// writeKey returns the action that writes the record of the current attempt by compare-and-swap.
 func (e *Elector) writeKey(revision uint64) Action {
 	record := LeaderRecord{
 		Member:  e.options.Member,
@@ -335,8 +340,8 @@
 	return Action{Op: WriteKey, Record: record, Revision: revision, Lease: e.lease}
 }
 
-// KeyWritten reports the outcome of a WriteKey that was sent at sent. Without an answer (answered false)
-// it may have been executed: the next read of the key decides, which is made at once.
+// KeyWritten reports the outcome of a WriteKey that was sent at sent. Without a response (answered is false)
+// the write may have been executed; the next read of the key, which becomes due at once, shows whether it was.
 func (e *Elector) KeyWritten(now, sent time.Time, answered, succeeded bool, revision uint64) {
 	written := answered && succeeded
 	switch {
@@ -355,8 +360,8 @@
 	}
 }
 
-// KeepAliveDone reports the outcome of a KeepAlive. The key disappears with its lease, which a read made
-// at once will show.
+// KeepAliveDone reports the outcome of a KeepAlive. If the lease has expired, the key is gone with it; a read
+// becomes due at once to confirm that.
 func (e *Elector) KeepAliveDone(now time.Time, leaseExpired bool) {
 	e.keepAliveInFlight = false
 	if leaseExpired && e.state == Leading {
--- a/internal/leadership/elector_test.go
+++ b/internal/leadership/elector_test.go
@@ -7,10 +7,10 @@
 
 var t0 = time.Unix(1000, 0)
 
-// at returns the time that many seconds after t0.
+// at returns t0 plus a number of seconds.
 func at(seconds float64) time.Time { return t0.Add(time.Duration(seconds * float64(time.Second))) }
 
-// newElector returns a follower.
+// newElector returns an elector in the state Following.
 func newElector() *Elector {
 	return New(Options{
 		Member:       "n0",
@@ -21,28 +21,28 @@
 	})
 }
 
-// newLeader returns an elector that leads with token 7, checked at 0 s.
+// newLeader returns an elector that leads with token 7 and whose last check was sent at 0 s.
 func newLeader(t *testing.T) *Elector {
 	t.Helper()
 	elector := newElector()
 	elector.Tick(at(0))
 	if a := elector.KeyRead(at(0), at(0), false, LeaderRecord{}, 0); len(a) != 1 || a[0].Op != GrantLease {
-		t.Fatalf("no attempt: %v", a)
+		t.Fatalf("reading an absent key returned %v, want one GrantLease", a)
 	}
 	a := elector.LeaseGranted(at(0), 3)
 	if len(a) != 1 || a[0].Op != WriteKey || a[0].Revision != 0 || a[0].Lease != 3 {
-		t.Fatalf("write: %v", a)
+		t.Fatalf("granting the lease returned %v, want one WriteKey of an absent key with lease 3", a)
 	}
 	elector.KeyWritten(at(0), at(0), true, true, 7)
 	if elector.State() != Leading || elector.Token() != 7 {
-		t.Fatalf("%v with %d", elector.State(), elector.Token())
+		t.Fatalf("state %v with token %d, want leading with 7", elector.State(), elector.Token())
 	}
 	return elector
 }
 
-// The leader lease expires by the clock, whatever happened meanwhile, and counts from when the check was
-// sent.
-func TestRightToAct(t *testing.T) {
+// The leader lease expires by the local clock alone, counted from the time at which the check was sent, and
+// ends at once when a higher token is observed.
+func TestLeaseExpiresByClock(t *testing.T) {
 	elector := newLeader(t)
 	elector.KeyRead(at(9), at(5), true, LeaderRecord{Member: "n0", Boot: "b0", Attempt: 1}, 7)
 	elector.ObserveJobs(at(5))
@@ -51,7 +51,7 @@
 		want bool
 	}{{6, true}, {24.9, true}, {25, false}, {70, false}} {
 		if elector.HoldsLease(at(c.at)) != c.want || at(c.at).Before(elector.LeaseExpiry()) != c.want {
-			t.Errorf("at %v s: %v", c.at, elector.HoldsLease(at(c.at)))
+			t.Errorf("at %v s: holds the lease: %v", c.at, elector.HoldsLease(at(c.at)))
 		}
 	}
 	if elector.ObserveToken(at(6), 9); !elector.LeaseExpiry().IsZero() || elector.HoldsLease(at(6)) {
@@ -59,32 +59,33 @@
 	}
 }
 
-// An attempt that is executed late, after the next one began, keeps the lease alive that its key is
-// attached to, not that of the next attempt.
-func TestLateClaimKeepsItsHold(t *testing.T) {
+// The first write of the key gets no response and is executed late, after the next attempt began. The leader
+// must keep the lease alive that the key is attached to, not the lease of the next attempt, or else the key
+// expires.
+func TestLateAttemptKeepsItsOwnLeaseAlive(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		lease uint64 // that the key's value names
-		want  uint64 // that is kept alive
+		lease uint64 // lease in the key's value
+		want  uint64 // lease that is kept alive
 	}{
-		{"as written now", 3, 3},
-		{"as the version before writes it", 0, 4},
+		{"record of this version", 3, 3},
+		{"record of an earlier version, without a lease", 0, 4},
 	} {
 		elector := newElector()
 		elector.Tick(at(0))
 		elector.KeyRead(at(0), at(0), false, LeaderRecord{}, 1)
 		first := elector.LeaseGranted(at(0), 3)[0].Record
 		if first.Lease != 3 {
-			t.Fatalf("the attempt names lease %d", first.Lease)
+			t.Fatalf("the record of the attempt has lease %d, want 3", first.Lease)
 		}
-		elector.KeyWritten(at(2), at(0), false, false, 0) // no answer; the key is still absent
+		elector.KeyWritten(at(2), at(0), false, false, 0) // no response; the key is still absent
 		elector.KeyRead(at(2), at(2), false, LeaderRecord{}, 1)
 		elector.LeaseGranted(at(2), 4)
 		elector.KeyWritten(at(3), at(2), true, false, 9) // the first attempt was executed before it
 		first.Lease = c.lease
 		elector.KeyRead(at(3.1), at(3), true, first, 8)
 		if elector.State() != Leading || elector.Token() != 8 {
-			t.Fatalf("%s: %v with %d", c.name, elector.State(), elector.Token())
+			t.Fatalf("%s: state %v with token %d, want leading with 8", c.name, elector.State(), elector.Token())
 		}
 		keptAlive := uint64(0)
 		for _, a := range elector.Tick(at(3.1)) {
@@ -99,20 +100,20 @@
 }
 
 // The leader lease counts from the older of the last check of the key and the last complete view of the
-// jobs: the key alone does not show what users asked for meanwhile.
-func TestViewCounts(t *testing.T) {
+// jobs, because the key does not show what users have submitted and cancelled meanwhile.
+func TestLeaseCountsFromOlderOfCheckAndJobsView(t *testing.T) {
 	for _, c := range []struct {
 		name          string
-		reads, views  []float64 // when they were sent, in seconds; the attempt was sent at 0
+		reads, views  []float64 // send times in seconds; the attempt was sent at 0
 		renewed       bool      // the last read shows a renewed token
-		held, expired float64   // the last time at which the lease is held, the first at which it is not
+		held, expired float64   // a time shortly before the lease expires, and that of its expiry
 	}{
-		{"neither", nil, nil, false, 19.9, 20},
-		{"both", []float64{5, 10}, []float64{4, 11}, false, 29.9, 30},
-		{"views are late", []float64{5, 10, 15}, []float64{3}, false, 22.9, 23},
+		{"no reads and no views", nil, nil, false, 19.9, 20},
+		{"reads and views", []float64{5, 10}, []float64{4, 11}, false, 29.9, 30},
+		{"last view older than last read", []float64{5, 10, 15}, []float64{3}, false, 22.9, 23},
 		{"no view since the attempt", []float64{5, 10, 25}, nil, false, 19.9, 20},
-		{"nor with a renewed token", []float64{25}, nil, true, 19.9, 20},
-		{"reads are late", []float64{2}, []float64{5, 10}, false, 21.9, 22},
+		{"no view since the attempt, renewed token", []float64{25}, nil, true, 19.9, 20},
+		{"last read older than last view", []float64{2}, []float64{5, 10}, false, 21.9, 22},
 		{"an older view arrives later", []float64{15}, []float64{12, 3}, false, 31.9, 32},
 	} {
 		elector := newLeader(t)
@@ -127,12 +128,13 @@
 			elector.ObserveJobs(at(sent))
 		}
 		if !elector.HoldsLease(at(c.held)) || elector.HoldsLease(at(c.expired)) {
-			t.Errorf("%s: the lease expires at %v", c.name, elector.LeaseExpiry().Sub(t0))
+			t.Errorf("%s: the lease expires after %v", c.name, elector.LeaseExpiry().Sub(t0))
 		}
 	}
 }
 
-// A leader stays, steps down or takes a renewed token, depending on what it observes.
+// Events that confirm a leader's term, end it or renew its token. An outdated read must not make a deposed
+// leader lead again under its old token.
 func TestTransitions(t *testing.T) {
 	mine := LeaderRecord{Member: "n0", Boot: "b0", Attempt: 1}
 	for _, c := range []struct {
@@ -141,29 +143,40 @@
 		state State
 		token uint64
 	}{
-		{"stays", func(elector *Elector) { elector.KeyRead(at(1), at(1), true, mine, 7) }, Leading, 7},
-		{"key gone", func(elector *Elector) { elector.KeyRead(at(1), at(1), false, LeaderRecord{}, 0) }, Following, 0},
-		{"another's key", func(elector *Elector) {
+		{"own key read", func(elector *Elector) { elector.KeyRead(at(1), at(1), true, mine, 7) }, Leading, 7},
+		{"key absent", func(elector *Elector) { elector.KeyRead(at(1), at(1), false, LeaderRecord{}, 0) }, Following, 0},
+		{"key of another process read", func(elector *Elector) {
 			elector.KeyRead(at(1), at(1), true, LeaderRecord{Member: "n1", Boot: "b1", Attempt: 1}, 9)
 		}, Following, 0},
 		{"higher token observed", func(elector *Elector) { elector.ObserveToken(at(1), 9) }, Following, 0},
-		{"higher token observed, then a read from before it", func(elector *Elector) {
+		{"higher token observed, then response to an earlier read", func(elector *Elector) {
 			elector.ObserveToken(at(1), 9)
 			elector.KeyRead(at(1.5), at(0.5), true, mine, 7)
 		}, Following, 0},
 		{"own token observed", func(elector *Elector) { elector.ObserveToken(at(1), 7) }, Leading, 7},
 		{"read failed", func(elector *Elector) { elector.ReadFailed(at(1)) }, Leading, 7},
-		{"lease expired, read not answered yet", func(elector *Elector) { elector.KeepAliveDone(at(1), true) }, Leading, 7},
-		{"renewed", func(elector *Elector) { elector.RenewToken(at(1)); elector.KeyWritten(at(1), at(1), true, true, 12) }, Leading, 12},
-		{"renewal lost", func(elector *Elector) { elector.RenewToken(at(1)); elector.KeyWritten(at(1), at(1), true, false, 0) }, Leading, 7},
-		// An unanswered renewal counts only after a read shows it.
-		{"renewal unanswered", func(elector *Elector) { elector.RenewToken(at(1)); elector.KeyWritten(at(1), at(1), false, false, 0) }, Leading, 7},
-		{"renewal found by a read", func(elector *Elector) {
+		{"lease expired, no response to the read yet", func(elector *Elector) {
+			elector.KeepAliveDone(at(1), true)
+		}, Leading, 7},
+		{"token renewed", func(elector *Elector) {
+			elector.RenewToken(at(1))
+			elector.KeyWritten(at(1), at(1), true, true, 12)
+		}, Leading, 12},
+		{"renewal rejected", func(elector *Elector) {
+			elector.RenewToken(at(1))
+			elector.KeyWritten(at(1), at(1), true, false, 0)
+		}, Leading, 7},
+		// A renewal without a response takes effect only when a read shows it.
+		{"renewal without a response", func(elector *Elector) {
+			elector.RenewToken(at(1))
+			elector.KeyWritten(at(1), at(1), false, false, 0)
+		}, Leading, 7},
+		{"renewal without a response, shown by a read", func(elector *Elector) {
 			elector.RenewToken(at(1))
 			elector.KeyWritten(at(1), at(1), false, false, 0)
 			elector.KeyRead(at(2), at(2), true, LeaderRecord{Member: "n0", Boot: "b0", Attempt: 2}, 12)
 		}, Leading, 12},
-		{"read from before the renewal", func(elector *Elector) {
+		{"response to a read executed before the renewal", func(elector *Elector) {
 			elector.RenewToken(at(1))
 			elector.KeyWritten(at(1), at(1), true, true, 12)
 			elector.KeyRead(at(2), at(0.5), true, mine, 7)
@@ -173,29 +186,31 @@
 			elector := newLeader(t)
 			c.event(elector)
 			if elector.State() != c.state || elector.Token() != c.token {
-				t.Errorf("%v with %d", elector.State(), elector.Token())
+				t.Errorf("state %v with token %d", elector.State(), elector.Token())
 			}
 		})
 	}
 }
 
-// A follower begins an attempt only when the key is free, or an earlier process of its own member holds it.
-func TestAttempts(t *testing.T) {
+// A follower campaigns only if the key is absent or an earlier process of its own member holds it.
+func TestCampaignsOnlyForFreeOrOwnKey(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		event    func(elector *Elector) []Action
-		revision uint64 // that the write expects
+		revision uint64 // revision that the write expects
 		attempt  bool
 	}{
-		{"nobody leads", func(elector *Elector) []Action { return elector.KeyRead(at(0), at(0), false, LeaderRecord{}, 0) }, 0, true},
-		{"another leads", func(elector *Elector) []Action {
+		{"key absent", func(elector *Elector) []Action {
+			return elector.KeyRead(at(0), at(0), false, LeaderRecord{}, 0)
+		}, 0, true},
+		{"another member leads", func(elector *Elector) []Action {
 			return elector.KeyRead(at(0), at(0), true, LeaderRecord{Member: "n1", Boot: "b", Attempt: 1}, 5)
 		}, 0, false},
-		// This member's earlier process cannot act any more: no wait for its lease to expire.
-		{"own earlier process leads", func(elector *Elector) []Action {
+		// This member's earlier process can no longer act, so there is no wait for its lease to expire.
+		{"earlier process of this member leads", func(elector *Elector) []Action {
 			return elector.KeyRead(at(0), at(0), true, LeaderRecord{Member: "n0", Boot: "old", Attempt: 1}, 5)
 		}, 5, true},
-		{"outdated read of own earlier process", func(elector *Elector) []Action {
+		{"outdated read of an earlier process's key", func(elector *Elector) []Action {
 			elector.ObserveToken(at(0), 9)
 			return elector.KeyRead(at(0), at(0), true, LeaderRecord{Member: "n0", Boot: "old", Attempt: 1}, 5)
 		}, 0, false},
@@ -207,43 +222,44 @@
 			}
 			if c.attempt {
 				if a := elector.LeaseGranted(at(0), 1); a[0].Revision != c.revision {
-					t.Errorf("expects revision %d", a[0].Revision)
+					t.Errorf("the write expects revision %d", a[0].Revision)
 				}
 			}
 		})
 	}
 }
 
-// An unanswered attempt may have been executed: only a read tells.
-func TestUnansweredClaim(t *testing.T) {
+// A write of the key without a response may have been executed. The process follows until a read shows that
+// it was, and then leads.
+func TestAttemptWithoutResponse(t *testing.T) {
 	elector := newElector()
 	elector.KeyRead(at(0), at(0), false, LeaderRecord{}, 0)
 	elector.LeaseGranted(at(0), 3)
 	elector.KeyWritten(at(2), at(0), false, false, 0)
 	if elector.State() != Following {
-		t.Fatalf("an unanswered attempt counts: %v", elector.State())
+		t.Fatalf("state %v after an attempt without a response, want following", elector.State())
 	}
 	elector.KeyRead(at(3), at(2.9), true, LeaderRecord{Member: "n0", Boot: "b0", Attempt: 1}, 7)
 	if elector.State() != Leading || elector.Token() != 7 || !elector.LastCheck().Equal(at(2.9)) {
-		t.Errorf("%v with %d since %v", elector.State(), elector.Token(), elector.LastCheck())
+		t.Errorf("state %v with token %d, last check at %v", elector.State(), elector.Token(), elector.LastCheck())
 	}
 }
 
-// The leader lease runs from the sending of the last successful check, not from its answer, and expires by
-// itself.
-func TestLeaseFromSending(t *testing.T) {
+// The leader lease counts from the time at which the last successful check was sent, not from the arrival of
+// its response, and expires without any event.
+func TestLeaseCountsFromSendTime(t *testing.T) {
 	elector := newLeader(t)
 	elector.KeyRead(at(15), at(5), true, LeaderRecord{Member: "n0", Boot: "b0", Attempt: 1}, 7)
 	elector.ObserveJobs(at(10))
 	for s, want := range map[float64]bool{15: true, 24.9: true, 25: false, 60: false} {
 		if got := elector.HoldsLease(at(s)); got != want {
-			t.Errorf("at %v s: %v", s, got)
+			t.Errorf("at %v s: holds the lease: %v", s, got)
 		}
 	}
 }
 
-// The first read tells which tokens are superseded; later ones change nothing, and a failed one tells
-// nothing.
+// The first successful read sets the lowest token that is not superseded; failed and later reads do not
+// change it.
 func TestMinToken(t *testing.T) {
 	other := LeaderRecord{Member: "n1", Boot: "b1", Attempt: 1}
 	for _, c := range []struct {
@@ -252,17 +268,19 @@
 		want  uint64
 	}{
 		{"no read", func(*Elector) {}, 0},
-		{"a failed read", func(elector *Elector) { elector.Tick(at(0)); elector.ReadFailed(at(1)) }, 0},
-		{"another leads", func(elector *Elector) { elector.KeyRead(at(0), at(0), true, other, 9) }, 9},
-		{"the key was absent at 12", func(elector *Elector) { elector.KeyRead(at(0), at(0), false, LeaderRecord{}, 12) }, 13},
-		{"the second read changes nothing", func(elector *Elector) {
+		{"failed read", func(elector *Elector) { elector.Tick(at(0)); elector.ReadFailed(at(1)) }, 0},
+		{"another member leads", func(elector *Elector) { elector.KeyRead(at(0), at(0), true, other, 9) }, 9},
+		{"key absent at revision 12", func(elector *Elector) {
+			elector.KeyRead(at(0), at(0), false, LeaderRecord{}, 12)
+		}, 13},
+		{"second read", func(elector *Elector) {
 			elector.KeyRead(at(0), at(0), true, other, 9)
 			elector.KeyRead(at(1), at(1), true, other, 15)
 		}, 9},
 	} {
 		elector := newElector()
 		if c.event(elector); elector.MinToken() != c.want {
-			t.Errorf("%s: %d, want %d", c.name, elector.MinToken(), c.want)
+			t.Errorf("%s: MinToken is %d, want %d", c.name, elector.MinToken(), c.want)
 		}
 	}
 }
