--- a/internal/machinerecords/draft.go
+++ b/internal/machinerecords/draft.go
@@ -8,16 +8,16 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// draft is a record as the transaction under way is to make it.
+// draft is the change of one record in the transaction that is being built or in flight.
 type draft struct {
-	revision uint64 // that the record must have
+	revision uint64 // revision that the stored record must have
 	next     *record
 	bytes    int // size of the stored value
 }
 
-// Next begins a transaction and returns its changes; nil means that there is nothing to do, or that one
-// is under way. Registrations come first, because starts of tasks wait for them. groups tells that every
-// controller reads group records.
+// Next begins a transaction and returns its changes, or nil if there is nothing to do or a transaction is in
+// flight. Registrations come first, because starts of tasks wait for them. groups is true if every
+// controller can read group records.
 func (l *Ledger) Next(groups bool) []Change {
 	if l.phase != Idle {
 		return nil
@@ -34,8 +34,9 @@
 	return l.beginTxn()
 }
 
-// splitOversized moves the machines of an oversized record, if there is one, to other records. That is a
-// transaction of its own: what a partial move leaves may still be too large.
+// splitOversized drafts the move of the machines of one oversized record to other records and reports whether
+// there is such a record. The move is a transaction of its own, because the remainder after a partial move may
+// still be too large.
 func (l *Ledger) splitOversized(groups bool) bool {
 	for key, stored := range l.records.All() {
 		if stored.oversized {
@@ -47,9 +48,9 @@
 	return false
 }
 
-// draftRegistrations drafts the requested records, as far as the transaction has capacity. A machine that
-// has a record, perhaps one of an ambiguous change, has it written again: then a late execution of that
-// change fails.
+// draftRegistrations drafts the requested records, as far as the transaction has capacity. If a machine already
+// has a record, possibly with an ambiguous change, that record is written again, so that a late execution of
+// that change fails.
 func (l *Ledger) draftRegistrations(groups bool) {
 	for name, registration := range l.toRegister.All() {
 		if keys := l.keysByMachine[name]; len(keys) > 0 {
@@ -97,7 +98,7 @@
 	}
 }
 
-// addMachine drafts a machine into a record. It reports false if the transaction is full.
+// addMachine adds a machine to the draft of a record. It returns false if the transaction is full.
 func (l *Ledger) addMachine(name string, registration Registration, groups bool) bool {
 	bytes := machineBytes(name, registration.Addr)
 	var drafted *draft
@@ -130,8 +131,9 @@
 	return l.draftFor(key, from)
 }
 
-// groupWithCapacity returns the draft of a group that has capacity for so many more bytes: one drafted
-// already, else a stored one, else a new one; nil if the transaction is full.
+// groupWithCapacity returns the draft of a group record of the pool that has capacity for the given number of
+// bytes. It prefers a group that is already drafted, then a stored one, then a new one, and returns nil if the
+// transaction is full.
 func (l *Ledger) groupWithCapacity(pool poolKey, bytes int) *draft {
 	for _, drafted := range l.drafts.All() {
 		if drafted.next.accepts(pool) && drafted.bytes+bytes <= l.options.MaxValueBytes {
@@ -148,13 +150,13 @@
 	return l.draftFor(key, &record{poolKey: pool, machines: map[string]string{}})
 }
 
-// accepts reports whether the record is a group that may be given more machines of a pool.
+// accepts reports whether the record is a group to which more machines of a pool may be added.
 func (r *record) accepts(pool poolKey) bool {
 	return !r.single && !r.oversized && r.poolKey == pool
 }
 
-// draftFor returns a record's draft, which it creates if the transaction has capacity for another change;
-// nil if it has not.
+// draftFor returns the draft of a record and creates it if there is none. It returns nil if the transaction has
+// no capacity for another change.
 func (l *Ledger) draftFor(key string, from *record) *draft {
 	if drafted := l.drafts.At(key); drafted != nil {
 		return drafted
@@ -169,7 +171,7 @@
 	return drafted
 }
 
-// beginTxn begins the transaction that the drafts make, if there are any.
+// beginTxn begins the transaction that consists of the drafts, if there are any, and returns its changes.
 func (l *Ledger) beginTxn() (changes []Change) {
 	for key, drafted := range l.drafts.All() {
 		if len(drafted.next.machines) == 0 && drafted.revision == 0 {
--- a/internal/machinerecords/ledger.go
+++ b/internal/machinerecords/ledger.go
@@ -1,15 +1,15 @@
 // Package machinerecords maintains the durable registrations of the machines on which tasks may run.
 //
-// A new leader starts nothing before it knows of each of these machines, so a machine's record is stored
+// A new leader starts no task before it knows all of these machines, so a machine's record is stored
 // before its first task starts and removed only when it can have no tasks. One record holds many
-// machines, so that the number of writes follows from the limits of the key-value store, not from the
-// size of the cluster.
+// machines, so that the number of writes depends on the limits of the key-value store and not on the size
+// of the cluster.
 //
-// Ledger is pure: registrations and outcomes go in, transactions come out, one at a time. It does no
+// Ledger is pure: it takes registrations and outcomes and returns transactions, one at a time. It does no
 // input or output and is not safe for concurrent use.
 //
-// Invariant: every change expects the revision under which its record was last known. A transaction with
-// unknown outcome that is executed late, after a later change of the same record, therefore fails.
+// Invariant: every change expects the last known revision of its record. A transaction with unknown outcome
+// that is executed late, after a later change of the same record, therefore fails.
 package machinerecords
 
 import (
@@ -24,40 +24,39 @@
 
 // The phases of a ledger.
 const (
-	Idle      Phase = iota // no transaction is under way
-	Writing                // a transaction is under way
-	Ambiguous              // a transaction failed or its outcome is unknown: its records must be read
+	Idle      Phase = iota // no transaction is in flight
+	Writing                // a transaction is in flight
+	Ambiguous              // a precondition failed or the outcome is unknown: the records must be read
 )
 
 // Options bound the records and transactions.
 type Options struct {
 	MaxOps        int // changes in one transaction
-	MaxValueBytes int // size of a group's record
-	MaxTxnBytes   int // size of all values of one transaction together
+	MaxValueBytes int // size of the value of one group record
+	MaxTxnBytes   int // total size of the values of one transaction
 }
 
-// minValueBytes is the least that Ledger reduces Options.MaxValueBytes to.
+// minValueBytes is the smallest value to which Ledger reduces Options.MaxValueBytes.
 const minValueBytes = 256
 
-// Ledger is the records of the machines, as one leader's term knows them.
+// Ledger holds the records of the machines as known in one leader's term.
 type Ledger struct {
 	options       Options
 	token         uint64
 	groupsCreated uint64 // group records created in this term
 	phase         Phase
-	opsPerTxn     int // changes in the next transaction: fewer after one was rejected
-	maxOps        int // changes that the store accepts at once, as far as is known
+	opsPerTxn     int // limit on changes in the next transaction; lowered when a transaction is rejected
+	maxOps        int // highest number of changes per transaction that the store is believed to accept
 
 	records       *model.Table[string, *record]      // by key
-	keysByMachine map[string][]string                // keys of the records that name a machine
-	toRegister    *model.Table[string, Registration] // by machine: its record is to be stored
-	toUnregister  *model.Table[string, bool]         // by machine: its record is to be removed
-	drafts        *model.Table[string, *draft]       // by key: the changes of the transaction under way
+	keysByMachine map[string][]string                // keys of the records that contain a machine
+	toRegister    *model.Table[string, Registration] // by machine: requests to store its record
+	toUnregister  *model.Table[string, bool]         // by machine: requests to remove its record
+	drafts        *model.Table[string, *draft]       // by key: changes of the current transaction
 	draftBytes    int                                // size of the values of all drafts
 }
 
-// New returns the ledger of a term without any records. The term's fencing token makes the keys of its
-// group records unique.
+// New returns an empty ledger for a term. The term's fencing token makes the keys of its group records unique.
 func New(options Options, token uint64) *Ledger {
 	return &Ledger{
 		options:       options,
@@ -71,14 +70,14 @@
 	}
 }
 
-// Phase returns the present phase.
+// Phase returns the current phase.
 func (l *Ledger) Phase() Phase { return l.phase }
 
 // setPhase is the only place where the phase changes.
 func (l *Ledger) setPhase(phase Phase) { l.phase = phase }
 
-// Load adds stored records. It fails on one that cannot be decoded: its machines are unknown then, so
-// nothing may be started.
+// Load adds stored records. It returns an error if a record cannot be decoded, because its machines are then
+// unknown and no task may be started.
 func (l *Ledger) Load(items []Item) error {
 	for _, item := range items {
 		loaded, err := decodeRecord(item)
@@ -90,7 +89,8 @@
 	return nil
 }
 
-// setRecord is the only place where records change; nil removes one.
+// setRecord sets the record under a key, or removes it if updated is nil. It is the only place where records
+// are added or removed.
 func (l *Ledger) setRecord(key string, updated *record) {
 	if old := l.records.At(key); old != nil {
 		for name := range old.machines {
@@ -107,7 +107,7 @@
 	}
 }
 
-// removeKey removes a record from the index by machine.
+// removeKey removes a record's key from the index entry of a machine.
 func (l *Ledger) removeKey(name, key string) {
 	keys := slices.DeleteFunc(l.keysByMachine[name], func(other string) bool { return other == key })
 	if len(keys) == 0 {
@@ -139,8 +139,8 @@
 // Len returns the number of records.
 func (l *Ledger) Len() int { return l.records.Len() }
 
-// Register requests a machine's record. A revision other than 0 means that the machine has a record
-// already, which no transaction under way removes; else a later transaction stores it.
+// Register requests that a machine's record is stored. It returns the revision of the record if the machine
+// already has one that no transaction in flight removes; else it returns 0 and a later transaction stores it.
 func (l *Ledger) Register(name string, registration Registration) (revision uint64) {
 	l.toUnregister.Delete(name)
 	if revision := l.Revision(name); revision != 0 && l.phase == Idle {
@@ -151,8 +151,8 @@
 	return 0
 }
 
-// Unregister requests the removal of a machine's record. The machine must be terminated, or must not be
-// given tasks before another Register is confirmed.
+// Unregister requests the removal of a machine's record. The caller must have terminated the machine, or must
+// assign it no tasks before another Register is confirmed.
 func (l *Ledger) Unregister(name string) {
 	l.toRegister.Delete(name)
 	if len(l.keysByMachine[name]) > 0 || l.phase != Idle {
@@ -160,7 +160,7 @@
 	}
 }
 
-// Revision returns the revision of a record that a machine certainly has, or 0.
+// Revision returns the revision of a record of the machine that is not ambiguous, or 0 if there is none.
 func (l *Ledger) Revision(name string) uint64 {
 	for _, key := range l.keysByMachine[name] {
 		if stored := l.records.At(key); !stored.ambiguous {
--- a/internal/machinerecords/ledger_test.go
+++ b/internal/machinerecords/ledger_test.go
@@ -17,7 +17,7 @@
 	small = model.Pool{Type: "small", Zone: "b"}
 )
 
-// fakeStore is a key-value store in memory that rejects transactions above its limits; 0 means no limit.
+// fakeStore is an in-memory key-value store that rejects transactions above its limits; 0 means no limit.
 type fakeStore struct {
 	items         map[string]Item
 	revision      uint64
@@ -26,7 +26,8 @@
 	maxOps        int
 }
 
-// commit executes a transaction. It reports whether it did, and else whether a limit was the reason.
+// commit executes a transaction. It reports whether the transaction was executed and, if it was not, whether it
+// exceeded a limit.
 func (s *fakeStore) commit(changes []Change) (executed, tooLarge bool) {
 	values := make([][]byte, len(changes))
 	for i, change := range changes {
@@ -63,7 +64,7 @@
 	return exceeds(len(values), s.maxOps) || exceeds(largest, s.maxValueBytes) || exceeds(total, s.maxTxnBytes)
 }
 
-// machines returns the machines that a new leader would read.
+// machines returns the machines that a new leader would load from the store.
 func (s *fakeStore) machines(t interface{ Fatal(...any) }) []Machine {
 	ledger := New(Options{}, 0)
 	for _, item := range s.items {
@@ -74,7 +75,7 @@
 	return ledger.Machines()
 }
 
-// names returns the names of the machines that a new leader would read.
+// names returns the names of the machines that a new leader would load from the store.
 func (s *fakeStore) names(t interface{ Fatal(...any) }) (names []string) {
 	for _, machine := range s.machines(t) {
 		names = append(names, machine.Name)
@@ -86,7 +87,8 @@
 	return New(Options{MaxOps: 4, MaxValueBytes: 1024, MaxTxnBytes: 16 << 10}, 7)
 }
 
-// run executes transactions until nothing is left to do, and counts their writes.
+// run executes transactions until nothing is left to do. It returns the machines reported as stored and
+// removed, and the number of changes sent.
 func run(t *testing.T, l *Ledger, s *fakeStore, groups bool) (stored, removed []string, writes int) {
 	t.Helper()
 	for {
@@ -95,7 +97,7 @@
 			return stored, removed, writes
 		}
 		if writes += len(changes); writes > 10000 {
-			t.Fatal("it does not end")
+			t.Fatal("the ledger still has transactions to run after 10000 writes")
 		}
 		var nowStored, nowRemoved []string
 		executed, tooLarge := s.commit(changes)
@@ -111,7 +113,7 @@
 	}
 }
 
-// registerRange registers machines by number, of two pools in turn.
+// registerRange registers the machines numbered from up to but not including to, alternating between two pools.
 func registerRange(l *Ledger, from, to int) {
 	for i := from; i < to; i++ {
 		pool := big
@@ -122,61 +124,62 @@
 	}
 }
 
-// The store accepts fewer changes at once than the settings say: fewer are sent, until all machines have
-// their records, and records stay as large as they were.
-func TestFewerChanges(t *testing.T) {
+// The store accepts fewer changes per transaction than configured. The ledger must send fewer, until all
+// machines have records, instead of reducing the size of the records.
+func TestLoweredLimitOnChanges(t *testing.T) {
 	for _, maxOps := range []int{1, 2, 3, 5} {
 		l, s := New(Options{MaxOps: 16, MaxValueBytes: 1024, MaxTxnBytes: 16 << 10}, 7), &fakeStore{items: map[string]Item{}}
 		registerRange(l, 0, 9)
-		run(t, l, s, false) // into records of single machines
+		run(t, l, s, false) // stores records of single machines
 		s.maxOps = maxOps
 		registerRange(l, 9, 30)
 		if stored, _, writes := run(t, l, s, false); len(stored) != 21 || writes > 90 {
-			t.Errorf("%d at once: %d of 21 machines recorded with %d writes", maxOps, len(stored), writes)
+			t.Errorf("limit of %d changes: %d of 21 machines stored with %d writes", maxOps, len(stored), writes)
 		}
 		if l.options.MaxValueBytes != 1024 {
-			t.Errorf("%d at once: records are bounded to %d bytes", maxOps, l.options.MaxValueBytes)
+			t.Errorf("limit of %d changes: size limit of records is now %d bytes", maxOps, l.options.MaxValueBytes)
 		}
 	}
 }
 
-// Many machines are registered with few writes, and unregistered with few.
-func TestGroups(t *testing.T) {
+// Group records let many machines be registered and unregistered with few writes, and free capacity of a group
+// is used for further machines.
+func TestGroupRecordsNeedFewWrites(t *testing.T) {
 	l, s := newLedger(), &fakeStore{items: map[string]Item{}, maxValueBytes: 1024, maxTxnBytes: 3000}
 	l.options.MaxTxnBytes = 3000
 	registerRange(l, 0, 1000)
 	stored, _, writes := run(t, l, s, true)
 	if l.options.MaxValueBytes != 1024 {
-		t.Errorf("a transaction was too large: records are bounded to %d bytes now", l.options.MaxValueBytes)
+		t.Errorf("a transaction was too large: size limit of records is now %d bytes", l.options.MaxValueBytes)
 	}
 	if len(stored) != 1000 || len(s.names(t)) != 1000 || writes > 100 {
-		t.Fatalf("%d machines are recorded with %d writes", len(stored), writes)
+		t.Fatalf("%d of 1000 machines stored with %d writes", len(stored), writes)
 	}
 	for i := range 990 {
 		l.Unregister(fmt.Sprintf("vm-%06d", i))
 	}
 	_, removed, writes := run(t, l, s, true)
 	if len(removed) != 990 || len(s.names(t)) != 10 || writes > 100 {
-		t.Fatalf("%d of 990 are removed with %d writes, %d are left", len(removed), writes, len(s.names(t)))
+		t.Fatalf("%d of 990 machines removed with %d writes, %d are left", len(removed), writes, len(s.names(t)))
 	}
 	before := l.Len()
 	registerRange(l, 1000, 1020)
 	if run(t, l, s, true); l.Len() != before {
-		t.Errorf("%d records, %d before: free capacity of a group is not used", l.Len(), before)
+		t.Errorf("%d records, %d before: free capacity of a group was not used", l.Len(), before)
 	}
 	machines := s.machines(t)
 	at := slices.IndexFunc(machines, func(machine Machine) bool { return machine.Name == "vm-000990" })
 	if len(machines) != 30 || at < 0 {
-		t.Fatalf("the next leader knows %+v", machines)
+		t.Fatalf("the next leader loads machines %+v, want 30 with vm-000990", machines)
 	}
 	if got := machines[at].Registration; got.Addr != "10.1.3.240:9000" || got.Pool != big {
-		t.Errorf("the next leader knows %+v", got)
+		t.Errorf("the next leader loads vm-000990 as %+v", got)
 	}
 }
 
-// Where a controller may not read group records, machines have records of their own; stored groups are
-// dissolved, and no machine is without a record meanwhile.
-func TestSingleRecords(t *testing.T) {
+// If some controller cannot read group records, each machine gets a record of its own and stored groups are
+// dissolved. No machine may be without a record meanwhile.
+func TestGroupsDissolveIntoSingleRecords(t *testing.T) {
 	l, s := newLedger(), &fakeStore{items: map[string]Item{}}
 	registerRange(l, 0, 20)
 	run(t, l, s, true)
@@ -195,17 +198,18 @@
 	}
 	for key := range s.items {
 		if !strings.HasPrefix(key, SinglePrefix) {
-			t.Errorf("%s is left", key)
+			t.Errorf("group record %s is left", key)
 		}
 	}
 	l.Unregister("vm-000003")
 	if _, removed, _ := run(t, l, s, false); !slices.Equal(removed, []string{"vm-000003"}) || len(s.names(t)) != 19 {
-		t.Errorf("removed %v", removed)
+		t.Errorf("removed %v, want only vm-000003", removed)
 	}
 }
 
-// Limits were lowered below the stored records: groups are made smaller, and no change is stuck.
-func TestLoweredLimits(t *testing.T) {
+// The store's size limit is lowered below the size of stored records. The groups must be split, and no
+// registration or removal may be blocked.
+func TestLoweredLimitOnValueSize(t *testing.T) {
 	l, s := newLedger(), &fakeStore{items: map[string]Item{}, maxValueBytes: 2000}
 	registerRange(l, 0, 200)
 	run(t, l, s, true)
@@ -213,30 +217,31 @@
 	l.Unregister("vm-000100")
 	registerRange(l, 200, 210)
 	if stored, removed, _ := run(t, l, s, true); len(stored) != 10 || len(removed) != 1 || len(s.names(t)) != 209 {
-		t.Errorf("%d stored, %d removed, %d there", len(stored), len(removed), len(s.names(t)))
+		t.Errorf("%d stored, %d removed, %d machines have records; want 10, 1 and 209",
+			len(stored), len(removed), len(s.names(t)))
 	}
 }
 
-// A record that cannot be decoded fails the load, which keeps a leader from starting anything.
-func TestMalformedRecord(t *testing.T) {
+// Load fails on a record that cannot be decoded, which keeps a leader from starting tasks.
+func TestLoadRejectsMalformedRecord(t *testing.T) {
 	for _, item := range []Item{
 		{SinglePrefix + "m", []byte(`[]`), 1},
 		{GroupPrefix + "x", []byte(`{"hosts":3}`), 1},
 	} {
 		if newLedger().Load([]Item{item}) == nil {
-			t.Errorf("%s is decoded", item.Value)
+			t.Errorf("load accepts the malformed record %s", item.Value)
 		}
 	}
 }
 
-// history is a ledger whose transactions have drawn outcomes.
+// history is the state of a property test: a ledger, its store, and transactions with randomly drawn outcomes.
 type history struct {
 	t          *rapid.T
 	ledger     *Ledger
 	store      *fakeStore
-	late       [][]Change              // unanswered transactions that may still be executed
-	registered map[string]bool         // reported as stored, and not unregistered since
-	requested  map[string]Registration // registered by a request
+	late       [][]Change              // transactions without a response that may still be executed
+	registered map[string]bool         // machines reported as stored and not unregistered since
+	requested  map[string]Registration // machines whose registration is requested
 }
 
 func newHistory(t *rapid.T) *history {
@@ -249,8 +254,8 @@
 	}
 }
 
-// noteStored records that machines are reported as stored.
-func (h *history) noteStored(names []string) {
+// markRegistered records that machines were reported as stored.
+func (h *history) markRegistered(names []string) {
 	for _, name := range names {
 		if _, still := h.requested[name]; still {
 			h.registered[name] = true
@@ -263,20 +268,20 @@
 	stored := h.store.names(h.t)
 	for name := range h.registered {
 		if !slices.Contains(stored, name) {
-			h.t.Fatalf("%s is reported as stored and has no record", name)
+			h.t.Fatalf("%s was reported as stored but has no record", name)
 		}
 	}
 }
 
-// write runs one transaction with a drawn outcome, or with success if calm. It reports false if there is
-// none to run.
-func (h *history) write(groups, calm bool) bool {
+// write runs one transaction, with a drawn outcome unless reliable is set. It returns false if there is no
+// transaction to run.
+func (h *history) write(groups, reliable bool) bool {
 	changes := h.ledger.Next(groups)
 	if changes == nil {
 		return false
 	}
 	outcome := "done"
-	if !calm {
+	if !reliable {
 		outcome = rapid.SampledFrom([]string{"done", "done", "refused", "unanswered", "held"}).Draw(h.t, "outcome")
 	}
 	executed := false
@@ -290,10 +295,10 @@
 	switch {
 	case outcome == "done" && executed:
 		stored, _ := h.ledger.TxnCommitted(h.store.revision)
-		h.noteStored(stored)
+		h.markRegistered(stored)
 	case outcome == "refused":
 		stored, _ := h.ledger.TxnRejected(false)
-		h.noteStored(stored)
+		h.markRegistered(stored)
 	default:
 		h.reread()
 	}
@@ -312,10 +317,10 @@
 	if err != nil {
 		h.t.Fatal(err)
 	}
-	h.noteStored(stored)
+	h.markRegistered(stored)
 }
 
-// step draws one event.
+// step draws and executes one event.
 func (h *history) step() {
 	name := fmt.Sprintf("vm-%d", rapid.IntRange(0, 6).Draw(h.t, "machine"))
 	switch rapid.SampledFrom([]string{"register", "register", "unregister", "write", "write", "late"}).Draw(h.t, "step") {
@@ -323,7 +328,7 @@
 		pool := rapid.SampledFrom([]model.Pool{big, small}).Draw(h.t, "pool")
 		h.requested[name] = Registration{pool, false, "x:1"}
 		if h.ledger.Register(name, h.requested[name]) != 0 {
-			h.noteStored([]string{name})
+			h.markRegistered([]string{name})
 		}
 	case "unregister":
 		delete(h.requested, name)
@@ -340,10 +345,10 @@
 	h.check()
 }
 
-// Whatever the outcomes of transactions and the order of their answers: a machine that is reported as
-// stored has a record until its removal is requested, and without further failures every requested record
-// is stored in the end.
-func TestRecordsAreThere(t *testing.T) {
+// Whatever the outcomes of transactions, and however late they are executed: a machine that was reported as
+// stored has a record until its removal is requested, and without further failures every requested record is
+// stored in the end.
+func TestStoredMachinesKeepTheirRecords(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := newHistory(t)
 		if rapid.Bool().Draw(t, "smaller records") {
@@ -355,12 +360,12 @@
 		h.late = nil
 		for transactions := 0; h.write(true, true); transactions++ {
 			if transactions > 100 {
-				t.Fatal("it does not end")
+				t.Fatal("the ledger still has transactions to run after 100 transactions")
 			}
 		}
 		for name := range h.requested {
 			if !h.registered[name] {
-				t.Fatalf("%s never gets its record", name)
+				t.Fatalf("the requested record of %s was not stored", name)
 			}
 		}
 	})
--- a/internal/machinerecords/outcome.go
+++ b/internal/machinerecords/outcome.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// TxnCommitted reports that the transaction under way was executed, at a revision. It returns the machines
-// whose requested records are stored now, and those whose records are removed.
+// TxnCommitted reports that the transaction in flight was executed, at a revision. It returns the machines
+// whose requested records are now stored, and those whose records are now removed.
 func (l *Ledger) TxnCommitted(revision uint64) (stored, removed []string) {
 	for key, drafted := range l.drafts.All() {
 		if len(drafted.next.machines) == 0 {
@@ -17,15 +17,15 @@
 	return l.finishTxn()
 }
 
-// TxnRejected reports that the transaction under way was not and will not be executed. tooLarge tells that
-// it exceeded the store's limits, which may be tighter than the settings say. It returns the machines like
-// TxnCommitted.
+// TxnRejected reports that the transaction in flight was not and will not be executed. tooLarge is true if
+// it exceeded the store's limits, which may be lower than the configured ones. It returns the same lists of
+// machines as TxnCommitted.
 //
-// Guard: the limit on the number of changes may be the one that was lowered. When only the records were
-// made smaller, five changes were sent again and again where four are accepted: no machine was registered
-// any more, and all stayed empty (simulation test, seed 1100001427). So fewer changes are sent first; a
-// single change that is rejected, or the split of an oversized record, is too large itself.
-// TestFewerChanges shows it.
+// Guard: the limit that was lowered may be the one on the number of changes. When only the records were made
+// smaller, five changes were sent repeatedly to a store that accepts four: no more machines were registered,
+// and all machines stayed empty (simulation test, seed 1100001427). Therefore the number of changes is reduced
+// first; if a single change or the split of an oversized record is rejected, its records are too large.
+// TestLoweredLimitOnChanges shows it.
 func (l *Ledger) TxnRejected(tooLarge bool) (stored, removed []string) {
 	changes, splitting := l.drafts.Len(), false
 	for _, drafted := range l.drafts.All() {
@@ -42,7 +42,7 @@
 	return l.finishTxn()
 }
 
-// reduceRecordSize halves the bound on group records and marks those that exceed it.
+// reduceRecordSize halves the size limit of group records and marks the records that exceed it as oversized.
 func (l *Ledger) reduceRecordSize() {
 	l.maxOps = l.options.MaxOps
 	l.options.MaxValueBytes = max(minValueBytes, l.options.MaxValueBytes/2)
@@ -54,8 +54,7 @@
 }
 
 // TxnAmbiguous reports that a precondition of the transaction failed, or that its outcome is unknown. It
-// returns the keys of the records that must be read, and passed to Reread, before anything else is
-// written.
+// returns the keys of the records that the caller must read and pass to Reread before it writes anything else.
 func (l *Ledger) TxnAmbiguous() (keys []string) {
 	for key := range l.drafts.All() {
 		keys = append(keys, key)
@@ -64,13 +63,14 @@
 	return keys
 }
 
-// Reread replaces the records that TxnAmbiguous returned by what was read; those that are missing here
-// were absent. It returns the machines like TxnCommitted.
+// Reread replaces the records whose keys TxnAmbiguous returned by the items that were read; keys without an item
+// were absent from the store. It returns the same lists of machines as TxnCommitted.
 //
-// Guard: the transaction may be executed even later than the read, and remove a machine's record that was
-// read. So what was read counts for a machine only once its record has been written again: of the two
-// writes, the one that is executed second finds its precondition broken. A group record that is created
-// late only names more machines than it need. TestRecordsAreThere shows it, with -rapid.checks=3000.
+// Guard: the transaction may be executed even after the read, and remove a machine's record that was read. A
+// record whose revision the transaction expects is therefore ambiguous, and doesn't count for its machines,
+// until it has been written again: of the two writes, the one that is executed second fails its precondition. A
+// group record that is created late only contains more machines than needed. TestStoredMachinesKeepTheirRecords
+// shows it, with -rapid.checks=3000.
 func (l *Ledger) Reread(items []Item) (stored, removed []string, err error) {
 	drafts := l.drafts
 	for key := range drafts.All() {
@@ -90,8 +90,8 @@
 	return stored, removed, nil
 }
 
-// finishTxn returns to Idle and returns the requests that are fulfilled: machines whose records are stored
-// or removed.
+// finishTxn sets the phase to Idle and returns the machines whose requests are fulfilled: those whose records
+// are stored, and those whose records are removed.
 func (l *Ledger) finishTxn() (stored, removed []string) {
 	l.setPhase(Idle)
 	for name := range l.toRegister.All() {
--- a/internal/machinerecords/record.go
+++ b/internal/machinerecords/record.go
@@ -9,14 +9,14 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// The prefixes of stored keys. A record of a single machine is what the versions before this one read and
-// write; group records are written only where every controller reads them.
+// The prefixes of stored keys. Earlier versions read and write only records of single machines; group records
+// are written only if every controller can read them.
 const (
 	SinglePrefix = "host/"
 	GroupPrefix  = "hosts/"
 )
 
-// Estimated overhead of the encoding, in bytes.
+// The estimated overhead of the encoding, in bytes, per record and per machine.
 const (
 	recordOverhead  = 80
 	machineOverhead = 8
@@ -37,13 +37,13 @@
 	Revision     uint64
 }
 
-// poolKey is what all machines of a group have in common.
+// poolKey holds the properties that all machines of a group have in common.
 type poolKey struct {
 	Pool model.Pool `json:"kind"`
 	Spot bool       `json:"spot"`
 }
 
-// groupRecord is the stored value of a group's record.
+// groupRecord is the stored value of a group record.
 type groupRecord struct {
 	poolKey
 	Machines map[string]string `json:"hosts"` // addresses by machine name
@@ -56,37 +56,37 @@
 	Revision uint64
 }
 
-// Change is one write of a transaction: the record under Key, which must have the revision (0: it must be
-// absent), becomes Value, or is deleted if Value is nil.
+// Change is one write of a transaction: it sets the record under Key to Value, or deletes it if Value is nil.
+// The stored record must have the given Revision; 0 means that it must be absent.
 type Change struct {
 	Key      string
 	Revision uint64
 	Value    any
 }
 
-// record is a record as last known.
+// record is the last known state of a stored record.
 type record struct {
 	revision  uint64
 	single    bool
-	oversized bool // too large for the limits in force: its machines move to other records
-	ambiguous bool // a change with unknown outcome may still be executed, until another change is
+	oversized bool // too large for the current limits: its machines are moved to other records
+	ambiguous bool // a change with unknown outcome may still be executed, until a later change is committed
 	poolKey
 	machines map[string]string // addresses by machine name
 }
 
-// decodeRecord reads a stored record.
+// decodeRecord decodes a stored record.
 func decodeRecord(item Item) (*record, error) {
 	name, single := strings.CutPrefix(item.Key, SinglePrefix)
 	if !single {
 		var group groupRecord
 		if err := json.Unmarshal(item.Value, &group); err != nil {
-			return nil, fmt.Errorf("hosts: record %s: %w", item.Key, err)
+			return nil, fmt.Errorf("decode machine group record %s: %w", item.Key, err)
 		}
 		return &record{revision: item.Revision, poolKey: group.poolKey, machines: group.Machines}, nil
 	}
 	var registration Registration
 	if err := json.Unmarshal(item.Value, &registration); err != nil {
-		return nil, fmt.Errorf("hosts: record %s: %w", item.Key, err)
+		return nil, fmt.Errorf("decode machine record %s: %w", item.Key, err)
 	}
 	return &record{
 		revision: item.Revision,
@@ -96,15 +96,15 @@
 	}, nil
 }
 
-// poolKey returns the part of a registration that decides which group may hold it.
+// poolKey returns the properties that decide which groups may contain the machine.
 func (r Registration) poolKey() poolKey { return poolKey{r.Pool, r.Spot} }
 
-// registration returns one of the record's machines.
+// registration returns the registration of one of the record's machines.
 func (r *record) registration(name string) Registration {
 	return Registration{Pool: r.Pool, Spot: r.Spot, Addr: r.machines[name]}
 }
 
-// value returns the record as it is to be stored under a key, or nil if it has no machine and is to be
+// value returns the value to store under the record's key, or nil if the record has no machines and is to be
 // deleted.
 func (r *record) value(key string) any {
 	switch {
@@ -133,5 +133,5 @@
 	return total
 }
 
-// machineBytes estimates how much a machine adds to its group's stored value.
+// machineBytes estimates how many bytes a machine adds to its group's stored value.
 func machineBytes(name, addr string) int { return len(name) + len(addr) + machineOverhead }
