--- a/internal/accounting/accounting_test.go
+++ b/internal/accounting/accounting_test.go
@@ -12,11 +12,11 @@
 
 var t0 = time.Unix(1000, 0)
 
-// fakeStore is a key-value store in memory, written by one leader at a time.
+// fakeStore is an in-memory key-value store that accepts writes of one leader at a time.
 type fakeStore struct {
 	items    map[string]Item
 	revision uint64
-	token    uint64 // of the leader's key, which every write of a leader expects
+	token    uint64 // fencing token of the current leader, which every write must have
 }
 
 // commit executes a leader's transaction if its preconditions hold.
@@ -62,14 +62,14 @@
 	return sum
 }
 
-// history is a series of leaders that count and write, with drawn events.
+// history is the state of a property test: successive leaders that count and write, with randomly drawn events.
 type history struct {
 	t        *rapid.T
 	store    *fakeStore
 	accounts *Accounts
-	counted  Sums     // by all leaders
-	stored   Sums     // after the last event
-	late     []func() // unanswered transactions that may still be executed
+	counted  Sums     // usage counted by all leaders
+	stored   Sums     // usage stored after the last event
+	late     []func() // transactions without a response that may still be executed
 }
 
 func newHistory(t *rapid.T) *history {
@@ -78,7 +78,7 @@
 	return h
 }
 
-// step draws one event.
+// step draws and executes one event.
 func (h *history) step(now time.Time) {
 	events := []string{"count", "count", "count", "write", "write", "unanswered", "unanswered", "late", "failover", "answer lost"}
 	switch rapid.SampledFrom(events).Draw(h.t, "step") {
@@ -141,25 +141,25 @@
 	sum := h.store.sum(h.t)
 	for kind := range sum {
 		if sum[kind].CPU > h.counted[kind].CPU || sum[kind].CPU < h.stored[kind].CPU {
-			h.t.Fatalf("%d are stored of kind %d, %d were before, %d are counted",
+			h.t.Fatalf("%d CPU units of usage kind %d stored, %d stored before, %d counted",
 				sum[kind].CPU, kind, h.stored[kind].CPU, h.counted[kind].CPU)
 		}
 	}
 	h.stored = sum
 	if !h.accounts.Own.balanced() {
-		h.t.Fatal("the usage of accounts is not that of pools")
+		h.t.Fatal("the usage summed by account differs from that summed by pool")
 	}
 }
 
-// hasUnwritten reports whether the present leader has anything left to write or read.
+// hasUnwritten reports whether the current leader still has to read or write records.
 func (h *history) hasUnwritten() bool {
 	return len(h.accounts.Own.dirtyParts) > 0 || len(h.accounts.earlierTerms) > 0 || h.accounts.Phase() == Loading
 }
 
-// Leaders count, write, fail before, in and after a write, have writes executed late or unanswered, and
-// follow each other: stored sums never decrease and never exceed what was counted, and what a leader that
-// keeps running has counted is stored with its next write.
-func TestEachIntervalOnce(t *testing.T) {
+// Leaders count and write usage and are replaced before, during and after writes; writes are executed late or
+// their responses are lost. The stored sums must never decrease and never exceed the counted usage, and the usage
+// counted by a leader that keeps running must be stored in the end.
+func TestEachIntervalCountsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := newHistory(t)
 		for i := range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -177,18 +177,18 @@
 			rows = rows.add(row.Sums)
 		}
 		if sum := h.store.sum(t); rows != sum {
-			t.Fatalf("the rows add up to %v, stored are %v", rows, sum)
+			t.Fatalf("the rows add up to %v, the stored records to %v", rows, sum)
 		}
 	})
 }
 
-// Limits of the transactions of these tests.
+// The limits of transactions in these tests.
 const (
 	maxOps        = 15
 	maxValueBytes = 8192
 )
 
-// next returns the transaction that is due, after a load if one is due.
+// next returns the changes of the transaction that is due. It first loads the stored items in phase Loading.
 func next(t *rapid.T, s *fakeStore, a *Accounts) []Change {
 	if a.Phase() == Loading {
 		if err := a.Load(s.all()); err != nil {
@@ -197,18 +197,18 @@
 	}
 	changes, err := a.Next(maxOps, maxValueBytes)
 	if err != nil || len(changes) > maxOps {
-		t.Fatalf("%d changes, %v", len(changes), err)
+		t.Fatalf("next returned %d changes and error %v", len(changes), err)
 	}
 	return changes
 }
 
-// 40 teams of 100 classes on on-demand and spot machines fit the smallest limit on values.
-func TestSize(t *testing.T) {
+// The rows of 40 teams with 100 classes each, on on-demand and spot machines, fit the smallest limit on values.
+func TestRowsFitSmallestValueLimit(t *testing.T) {
 	ledger := NewLedger()
 	for team := range 40 {
 		for class := range 100 {
 			for _, spot := range []bool{false, true} {
-				for kind := range usageKinds {
+				for kind := range usageKindCount {
 					ledger.Count(Interval{
 						Account:  Account{fmt.Sprintf("team-%02d", team), fmt.Sprintf("class-%03d", class), spot},
 						Pool:     model.Pool{Type: "x", Zone: "a"},
@@ -238,7 +238,7 @@
 	t.Logf("largest value %d bytes", largest)
 }
 
-// countClasses counts an interval for each of so many classes.
+// countClasses counts one interval for each of the given number of classes and returns the ledger.
 func countClasses(ledger *Ledger, classes int) *Ledger {
 	for i := range classes {
 		ledger.Count(Interval{
@@ -252,9 +252,10 @@
 	return ledger
 }
 
-// An earlier term that is too large to be merged counts all the same, and the present one is written.
-func TestTooLargeToMerge(t *testing.T) {
-	value, err := Encode(countClasses(NewLedger(), 300).sortedRows(all))
+// An earlier term is too large to be merged into the total. Rows must still include its usage, and the current
+// term must still be written.
+func TestEarlierTermTooLargeToMerge(t *testing.T) {
+	value, err := Encode(countClasses(NewLedger(), 300).sortedRows(allAccounts))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -265,12 +266,13 @@
 	changes, err := accounts.Next(5, 1000)
 	own := rowKey(3, partOf(Account{Team: "team", Class: "class-00000"}))
 	if err == nil || len(changes) != 1 || changes[0].Key != own || len(accounts.Rows()) != 300 {
-		t.Errorf("changes %v, %v, %d rows", changes, err, len(accounts.Rows()))
+		t.Errorf("changes %v, error %v, %d rows; want one change, an error and 300 rows",
+			changes, err, len(accounts.Rows()))
 	}
 }
 
-// Recent usage counts half after each minute, also in a copy.
-func TestRecentUsage(t *testing.T) {
+// Recent usage decays with a half-life of one minute and survives an export and import.
+func TestRecentUsageDecays(t *testing.T) {
 	ledger := NewLedger()
 	ledger.Count(Interval{
 		Account:  Account{Team: "x"},
@@ -281,12 +283,12 @@
 	})
 	for minutes, want := range map[int]float64{0: 600, 1: 300, 3: 75} {
 		if got := ledger.RecentCPUSeconds("x", t0.Add(time.Duration(minutes)*time.Minute)); got != want {
-			t.Errorf("after %d minutes %v", minutes, got)
+			t.Errorf("recent usage after %d minutes is %v CPU seconds", minutes, got)
 		}
 	}
 	restored := NewLedger()
 	restored.Import(ledger.Export())
 	if restored.RecentCPUSeconds("x", t0) != 600 || restored.RecentCPUSeconds("y", t0) != 0 {
-		t.Error("the copy differs")
+		t.Error("the imported recent usage differs from the exported one")
 	}
 }
--- a/internal/accounting/accounts.go
+++ b/internal/accounting/accounts.go
@@ -16,51 +16,51 @@
 	Revision uint64
 }
 
-// Change is one write of a transaction: the key must have the revision (0: it must be absent), and is set
-// to Value, or deleted if Value is nil.
+// Change is one write of a transaction: it sets Key to Value, or deletes Key if Value is nil. The stored key
+// must have the given Revision; 0 means that it must be absent.
 type Change struct {
 	Key      string
 	Revision uint64
 	Value    json.RawMessage
 }
 
-// Phase is the state of the exchange with the store.
+// Phase is the state of the Accounts' exchange with the store.
 type Phase int
 
 // The phases of Accounts.
 const (
 	Loading Phase = iota // everything stored must be read and passed to Load
 	Idle                 // Next may begin a transaction
-	Writing              // a transaction is under way
+	Writing              // a transaction is in flight
 )
 
-// Accounts are all stored usage and the ledger of the present term. The term's records are named by the
-// fencing token that it began with; renewing the token changes nothing.
+// Accounts holds all stored usage and the ledger of the current term. The keys of the term's records contain
+// the fencing token that the term began with; a renewal of the token does not change them.
 type Accounts struct {
-	Own          *Ledger // usage of the present term
+	Own          *Ledger // usage of the current term
 	token        uint64
 	phase        Phase
-	stored       map[string]Item // by key, as last known
-	total        map[int][]Row   // by part
-	earlierTerms map[uint64]bool // by token: not merged into the total yet
-	loaded       bool            // what is stored has been read once
+	stored       map[string]Item // by key: the last known stored values
+	total        map[int][]Row   // by part: rows of the stored total
+	earlierTerms map[uint64]bool // by token: terms that are not merged into the total yet
+	loaded       bool            // the stored usage has been read at least once
 	inFlight     transaction
 }
 
-// transaction is the changes under way and what they contain.
+// transaction holds the changes that are being drafted or are in flight, and their contents.
 type transaction struct {
 	changes map[string]Change // by key
-	rows    map[string][]Row  // by key
-	parts   []int             // of the present term's rows
+	rows    map[string][]Row  // by key: the rows that a change stores
+	parts   []int             // parts of the current term's rows that the transaction writes
 }
 
-// writeLimits bound a transaction.
+// writeLimits are the size limits of a transaction.
 type writeLimits struct {
 	maxOps        int
 	maxValueBytes int
 }
 
-// NewAccounts returns the accounts of a term. What is stored must be loaded first.
+// NewAccounts returns the accounts of a term, in phase Loading.
 func NewAccounts(token uint64, own *Ledger) *Accounts {
 	return &Accounts{
 		Own:          own,
@@ -74,16 +74,16 @@
 // setPhase is the only place where the phase changes.
 func (a *Accounts) setPhase(phase Phase) { a.phase = phase }
 
-// Phase returns the present phase.
+// Phase returns the current phase.
 func (a *Accounts) Phase() Phase { return a.phase }
 
-// HasBacklog reports whether there was more to write than the last transaction had capacity for.
+// HasBacklog reports whether there is more to write than the last transaction had capacity for.
 func (a *Accounts) HasBacklog() bool {
 	return len(a.earlierTerms) > 0 || len(a.inFlight.parts) > 0 && len(a.Own.dirtyParts) > 0
 }
 
-// Load replaces what is known of the store by everything that is stored under Prefix. No transaction may
-// be under way. On an error nothing changes.
+// Load replaces the known stored usage by items, which must be everything that is stored under Prefix. It must
+// not be called while a transaction is in flight. On an error it changes nothing.
 func (a *Accounts) Load(items []Item) error {
 	stored, total, earlierTerms := map[string]Item{}, map[int][]Row{}, map[uint64]bool{}
 	for _, item := range items {
@@ -93,7 +93,7 @@
 		}
 		rows, err := Decode(item.Value)
 		if err != nil {
-			return fmt.Errorf("%s: %w", item.Key, err)
+			return fmt.Errorf("usage record %s: %w", item.Key, err)
 		}
 		stored[item.Key] = item
 		switch {
@@ -109,9 +109,9 @@
 }
 
 // Next begins the transaction that is due, if any, and returns its changes, at most maxOps: the merge of an
-// earlier term, or else the changed parts of the present one. Values above maxValueBytes are left out and
-// reported by an error, which doesn't keep the others from being written: an earlier term that cannot be
-// merged counts in Rows all the same.
+// earlier term, or else the changed parts of the current term. It leaves out values larger than maxValueBytes
+// and returns an error for them together with the other changes, which must be written nevertheless. Rows
+// includes earlier terms that cannot be merged.
 func (a *Accounts) Next(maxOps, maxValueBytes int) ([]Change, error) {
 	if a.phase != Idle {
 		return nil, nil
@@ -132,8 +132,8 @@
 	return changes, err
 }
 
-// mergeEarlierTerm adds the merge of one earlier term to the transaction. Two terms would change the same
-// total.
+// mergeEarlierTerm adds the merge of one earlier term to the transaction. It merges only one, because two terms
+// would change the same records of the total.
 func (a *Accounts) mergeEarlierTerm(limits writeLimits) (failed error) {
 	for token := range a.earlierTerms {
 		for part := range partCount {
@@ -147,8 +147,8 @@
 	return failed
 }
 
-// mergePart adds the merge of one part of an earlier term, if there is such a part and capacity for the two
-// changes that it takes.
+// mergePart adds the merge of one part of an earlier term to the transaction, if the part exists and the
+// transaction has capacity for the two changes that the merge needs.
 func (a *Accounts) mergePart(token uint64, part int, limits writeLimits) error {
 	item, ok := a.stored[rowKey(token, part)]
 	if !ok || len(a.inFlight.changes)+2 > limits.maxOps {
@@ -165,7 +165,7 @@
 	return nil
 }
 
-// writeOwnParts adds the changed parts of the present term to the transaction, as far as it has capacity.
+// writeOwnParts adds the changed parts of the current term to the transaction, as far as it has capacity.
 func (a *Accounts) writeOwnParts(limits writeLimits) (failed error) {
 	for part := range a.Own.dirtyParts {
 		if len(a.inFlight.parts) == limits.maxOps {
@@ -182,14 +182,14 @@
 	return failed
 }
 
-// put adds a change that sets a key to rows.
+// put adds a change to the transaction that sets a key to rows. It returns an error if the value is too large.
 func (a *Accounts) put(key string, rows []Row, limits writeLimits) error {
 	value, err := Encode(rows)
 	if err != nil {
 		return err
 	}
 	if len(value) > limits.maxValueBytes {
-		return fmt.Errorf("%s: %d rows take %d bytes, more than the state service holds", key, len(rows), len(value))
+		return fmt.Errorf("usage record %s: %d rows take %d bytes, above the limit on values", key, len(rows), len(value))
 	}
 	a.inFlight.changes[key] = Change{Key: key, Revision: a.stored[key].Revision, Value: value}
 	a.inFlight.rows[key] = rows
@@ -208,13 +208,14 @@
 			a.total[part] = a.inFlight.rows[key]
 		}
 	}
-	a.inFlight.changes = nil // its parts are kept for HasBacklog
+	a.inFlight.changes = nil // inFlight.parts is kept for HasBacklog
 	a.setPhase(Idle)
 }
 
-// TxnFailed reports that the transaction was refused or that its outcome is unknown: it may be executed
-// late. Everything is read again before the next one. A late execution then either was read, or fails
-// because of the revisions that it expects.
+// TxnFailed reports that the transaction was rejected or that its outcome is unknown, in which case it may be
+// executed late. It sets the phase to Loading, so that everything is read again before the next transaction. A
+// late execution either comes before that read, or conflicts with a later transaction through the revisions that
+// both expect, so that only one of them succeeds.
 func (a *Accounts) TxnFailed() {
 	for _, part := range a.inFlight.parts {
 		a.Own.dirtyParts[part] = true
@@ -223,18 +224,19 @@
 	a.setPhase(Loading)
 }
 
-// Rows returns all known usage: the total, the earlier terms that are not merged yet, and the present term
-// as of now.
+// Rows returns all known usage: the total, the earlier terms that are not merged yet, and the current term
+// including usage that is not written yet.
 func (a *Accounts) Rows() []Row {
-	merged := mergeRows(a.Own.sortedRows(all), a.totalRows())
+	merged := mergeRows(a.Own.sortedRows(allAccounts), a.totalRows())
 	return a.addStored(merged, func(token uint64) bool { return token != a.token })
 }
 
-// StoredRows returns all usage that is certainly stored: the total, the earlier terms that are not merged yet, and the
-// present term as last written. known is false until what is stored has been read.
+// StoredRows returns all usage that is certainly stored: the total, the earlier terms that are not merged yet, and
+// the current term as last written. known is false until the stored usage has been read.
 //
-// Guard: the rows of the present term as of now may be lost with this process, and what the earlier terms stored is
-// missing until it was read. Told to users, either went back with the next leader (simtest, TestUsageNeverGoesBack).
+// Guard: usage of the current term that is not written yet may be lost with this process, and the usage stored by
+// earlier terms is missing until it has been read. When users were shown sums with the former or without the
+// latter, their usage decreased under the next leader (simtest, TestUsageNeverGoesBack).
 func (a *Accounts) StoredRows() (rows []Row, known bool) {
 	if !a.loaded {
 		return nil, false
@@ -250,11 +252,11 @@
 	return merged
 }
 
-// addStored adds the stored rows of the terms that a condition holds for.
-func (a *Accounts) addStored(merged []Row, ofTerm func(token uint64) bool) []Row {
+// addStored adds the stored rows of the terms whose token fulfils a condition to merged and returns the sum.
+func (a *Accounts) addStored(merged []Row, includeTerm func(token uint64) bool) []Row {
 	for key, item := range a.stored {
 		token, _, err := parseKey(key)
-		if err != nil || token == 0 || !ofTerm(token) {
+		if err != nil || token == 0 || !includeTerm(token) {
 			continue
 		}
 		if rows, err := Decode(item.Value); err == nil {
--- a/internal/accounting/amount.go
+++ b/internal/accounting/amount.go
@@ -7,37 +7,37 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// UsageKind is what an interval of a task counts as.
+// UsageKind is the kind of usage that an interval of a task is counted as.
 type UsageKind int
 
 // The kinds of usage.
 const (
-	Run        UsageKind = iota // the task ran or wrote a checkpoint
-	Wait                        // it occupied its machine while it fetched its image or waited for its gang
-	Wasted                      // work that was done and must be repeated; it counts as Run as well
-	usageKinds                  // how many kinds there are
+	Run            UsageKind = iota // the task ran or wrote a checkpoint
+	Wait                            // the task occupied its machine while it fetched its image or waited for its gang
+	Wasted                          // the task did work that must be repeated; the interval also counts as Run
+	usageKindCount                  // the number of kinds
 )
 
-// milliUnits is how many units of an Amount make up a CPU, a GPU or a GB in one millisecond.
+// milliUnits is the number of units of an Amount for one CPU, GPU or GB during one millisecond.
 const milliUnits = 1000
 
-// unitsPerCPUSecond is how many units of an Amount make up a CPU in one second.
+// unitsPerCPUSecond is the number of units of an Amount for one CPU during one second.
 const unitsPerCPUSecond = 1e6
 
-// Amount is an amount of each resource over time, in thousandths of a CPU, GPU and GB times milliseconds:
-// whole numbers, so that sums are exact in any order.
+// Amount is the use of each resource over time, in thousandths of a CPU, GPU and GB times milliseconds. The
+// amounts are integers, so that sums are exact in any order.
 type Amount struct {
 	CPU, GPU, Memory int64
 }
 
-// usageOf returns what a size uses in some time, nothing if that is negative.
+// usageOf returns the usage of a size over a duration; a negative duration counts as zero.
 func usageOf(size model.Size, duration time.Duration) Amount {
 	milliseconds := max(0, duration.Milliseconds())
 	over := func(resource float64) int64 { return int64(math.Round(resource*milliUnits)) * milliseconds }
 	return Amount{CPU: over(size.CPUs), GPU: over(size.GPUs), Memory: over(size.MemoryGB)}
 }
 
-// Add returns the sum of two amounts. It stays at the largest number in place of an overflow.
+// Add returns the sum of two amounts. A sum that would overflow is set to the largest integer.
 func (a Amount) Add(other Amount) Amount {
 	return Amount{
 		CPU:    saturatingAdd(a.CPU, other.CPU),
@@ -53,10 +53,10 @@
 	return x + y
 }
 
-// CPUSeconds returns the amount of CPU in seconds of a whole CPU.
+// CPUSeconds returns the CPU usage in seconds of one CPU.
 func (a Amount) CPUSeconds() float64 { return float64(a.CPU) / unitsPerCPUSecond }
 
-// Account is what usage is summed by: a team's class on on-demand or on spot machines.
+// Account is the key by which usage is summed: a class of a team, on on-demand or on spot machines.
 type Account struct {
 	Team  string
 	Class string
@@ -64,9 +64,9 @@
 }
 
 // Sums are the usage of an account by kind.
-type Sums [usageKinds]Amount
+type Sums [usageKindCount]Amount
 
-// add returns the sum by kind.
+// add returns the sums of both by kind.
 func (s Sums) add(other Sums) Sums {
 	for kind := range s {
 		s[kind] = s[kind].Add(other[kind])
--- a/internal/accounting/encoding.go
+++ b/internal/accounting/encoding.go
@@ -13,28 +13,27 @@
 	"github.com/marlwood/marlwood/internal/compress"
 )
 
-// Stored keys: the total and each term's rows, in parts by account.
+// The prefixes of the stored keys. The total and the rows of each term are stored in parts by account.
 const (
 	Prefix      = "usage/"
 	totalPrefix = Prefix + "total/"
 )
 
-// WatermarkKey is the stored key of the Watermark. It is written with every part, and read by the next
-// leader.
+// WatermarkKey is the stored key of the Watermark, which is written with every part and read by the next leader.
 const WatermarkKey = "usage-mark"
 
-// Watermark records when usage was last written, and the last attempt that had been ordered by then. The
-// next leader counts those of these attempts that it finds running from that time on.
+// Watermark records when usage was last written and the last task attempt that had been ordered by then. The
+// next leader counts the usage of attempts up to that one which it finds running, from that time on.
 type Watermark struct {
 	AtMS    int64  `json:"at_ms"`
 	Attempt uint64 `json:"attempt"`
 }
 
-// partCount is how many values a term's rows are divided into: 40 teams of 100 classes on on-demand and
-// spot machines are 8000 rows, and a value of 8 KiB holds some 500.
+// partCount is the number of values that a term's rows are divided into: 40 teams with 100 classes each, on
+// on-demand and spot machines, have 8000 rows, and a value of 8 KiB holds about 500.
 const partCount = 32
 
-// totalName is in the place of a term's token in the keys of the total.
+// totalName replaces a term's token in the keys of the total.
 const totalName = "total"
 
 // partOf returns the part that an account belongs to.
@@ -50,7 +49,7 @@
 // totalKey returns the stored key of a part of the total.
 func totalKey(part int) string { return fmt.Sprintf("%s%02d", totalPrefix, part) }
 
-// parseKey returns the term's token and the part of a stored key; token 0 is the total's.
+// parseKey returns the term's token and the part of a stored key. Token 0 stands for the total.
 func parseKey(key string) (token uint64, part int, err error) {
 	rest, hasPrefix := strings.CutPrefix(key, Prefix)
 	term, number, isCut := strings.Cut(rest, "/")
@@ -60,7 +59,7 @@
 	part, partErr := strconv.Atoi(number)
 	err = errors.Join(err, partErr)
 	if !hasPrefix || !isCut || err != nil || part < 0 || part >= partCount {
-		return 0, 0, fmt.Errorf("usage record %q: not a key of this version", key)
+		return 0, 0, fmt.Errorf("usage record key %q: not in the key format of this version", key)
 	}
 	return token, part, nil
 }
@@ -69,7 +68,7 @@
 func Encode(rows []Row) (json.RawMessage, error) {
 	encoded, err := cbor.Marshal(rows)
 	if err != nil {
-		return nil, fmt.Errorf("usage: %w", err)
+		return nil, fmt.Errorf("encode usage rows: %w", err)
 	}
 	return json.Marshal(compress.Encode(encoded))
 }
@@ -78,14 +77,14 @@
 func Decode(value json.RawMessage) (rows []Row, err error) {
 	var text string
 	if err := json.Unmarshal(value, &text); err != nil {
-		return nil, fmt.Errorf("usage: %w", err)
+		return nil, fmt.Errorf("decode usage value: %w", err)
 	}
 	encoded, err := compress.Decode(text)
 	if err != nil {
-		return nil, fmt.Errorf("usage: %w", err)
+		return nil, fmt.Errorf("decompress usage rows: %w", err)
 	}
 	if err := cbor.Unmarshal(encoded, &rows); err != nil {
-		return nil, fmt.Errorf("usage: %w", err)
+		return nil, fmt.Errorf("decode usage rows: %w", err)
 	}
 	return rows, nil
 }
--- a/internal/accounting/ledger.go
+++ b/internal/accounting/ledger.go
@@ -1,15 +1,15 @@
-// Package accounting sums up what teams use.
+// Package accounting sums and stores the resource usage of teams.
 //
-// Each leader's term adds its usage up in records of its own, which are named by the term's fencing token
-// and always written as whole sums that only grow. So each interval counts once, whether a write is
-// executed twice, late or not at all. The records of earlier terms are merged into the total, each part of
-// them in one transaction that deletes it and updates the total.
+// Each leader's term stores its usage in records of its own, whose keys contain the term's fencing token. A
+// record is always written as a whole, with sums that only grow. Each interval therefore counts once, even if
+// a write is executed twice, late or not at all. The records of earlier terms are merged into the total, each
+// part in one transaction that deletes its record and updates the total.
 //
-// Ledger sums the usage of one term. Accounts decides what of it is written, and merges earlier terms.
-// Both are pure: intervals, outcomes and the time go in, records to write come out. They do no input or
-// output and are not safe for concurrent use.
+// Ledger sums the usage of one term. Accounts decides which records are written and merges earlier terms. Both
+// are pure: they take intervals, outcomes and times, and return records to write. They do no input or output
+// and are not safe for concurrent use.
 //
-// Invariant: the stored sums never decrease, and never exceed what was counted.
+// Invariant: the stored sums never decrease and never exceed the counted usage.
 package accounting
 
 import (
@@ -20,25 +20,25 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// Interval is a part of a task's life that counts as usage.
+// Interval is a period of a task's lifetime that counts as usage.
 type Interval struct {
 	Account  Account
-	Pool     model.Pool // of the machine
+	Pool     model.Pool // pool of the machine
 	Kind     UsageKind
-	Size     model.Size // of the task
+	Size     model.Size // size of the task
 	Duration time.Duration
 	End      time.Time
 }
 
-// Ledger is the usage since a term began.
+// Ledger holds the usage since a term began.
 type Ledger struct {
 	rows       map[Account]*Sums
-	byPool     map[model.Pool]*Sums // the same intervals by pool of machines: double entry
-	dirtyParts map[int]bool         // parts of the rows that changed since they were last written
+	byPool     map[model.Pool]*Sums // the same intervals summed by pool, as a cross-check of rows
+	dirtyParts map[int]bool         // parts of the rows that have changed since they were last written
 	recent     map[string]Recent    // by team
 }
 
-// NewLedger returns a ledger without usage.
+// NewLedger returns an empty ledger.
 func NewLedger() *Ledger {
 	return &Ledger{
 		rows:       map[Account]*Sums{},
@@ -48,7 +48,7 @@
 	}
 }
 
-// Count adds an interval. One of no size or no length changes nothing.
+// Count adds an interval. An interval without size or duration changes nothing.
 func (l *Ledger) Count(interval Interval) {
 	amount := usageOf(interval.Size, interval.Duration)
 	if amount == (Amount{}) {
@@ -72,7 +72,7 @@
 	sums[key][kind] = sums[key][kind].Add(amount)
 }
 
-// Team returns the sums of a team over all its accounts.
+// Team returns a team's sums over all its accounts.
 func (l *Ledger) Team(team string) (total Sums) {
 	for account, sums := range l.rows {
 		if account.Team == team {
@@ -95,10 +95,10 @@
 	return sum
 }
 
-// sortedRows returns the rows of the accounts that a condition holds for, sorted by account.
-func (l *Ledger) sortedRows(belongs func(account Account) bool) (out []Row) {
+// sortedRows returns the rows of the accounts that fulfil a condition, sorted by account.
+func (l *Ledger) sortedRows(include func(account Account) bool) (out []Row) {
 	for account, sums := range l.rows {
-		if belongs(account) {
+		if include(account) {
 			out = append(out, Row{Account: account, Sums: *sums})
 		}
 	}
@@ -120,8 +120,8 @@
 	return 0
 }
 
-// all is the condition of sortedRows that holds for every account.
-func all(Account) bool { return true }
+// allAccounts is a condition for sortedRows that every account fulfils.
+func allAccounts(Account) bool { return true }
 
 // mergeRows adds up two sets of rows.
 func mergeRows(x, y []Row) []Row {
@@ -134,5 +134,5 @@
 		}
 		*sums = sums.add(row.Sums)
 	}
-	return merged.sortedRows(all)
+	return merged.sortedRows(allAccounts)
 }
--- a/internal/accounting/recent.go
+++ b/internal/accounting/recent.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// halfLife is the age at which recent usage counts half.
+// halfLife is the half-life of recent usage.
 const halfLife = time.Minute
 
 // Recent is a team's recent usage, in CPU seconds, exponentially decayed up to At.
@@ -14,12 +14,12 @@
 	At  time.Time
 }
 
-// decayed returns the recent usage as of a time.
+// decayed returns the recent usage in CPU seconds, decayed further to now.
 func (r Recent) decayed(now time.Time) float64 {
 	return r.CPU * math.Exp2(-now.Sub(r.At).Seconds()/halfLife.Seconds())
 }
 
-// Export returns a copy of the teams' recent usage, for a snapshot of the state that decisions rest on.
+// Export returns a copy of the recent usage by team, for a snapshot of the state that decisions depend on.
 func (l *Ledger) Export() map[string]Recent {
 	out := map[string]Recent{}
 	for team, recent := range l.recent {
@@ -28,14 +28,14 @@
 	return out
 }
 
-// Import sets teams' recent usage from a snapshot.
+// Import sets the recent usage of teams from a snapshot.
 func (l *Ledger) Import(usage map[string]Recent) {
 	for team, recent := range usage {
 		l.recent[team] = recent
 	}
 }
 
-// RecentCPUSeconds returns a team's recent usage in CPU seconds, of which half is left after each minute.
+// RecentCPUSeconds returns a team's recent usage in CPU seconds, which decays with a half-life of one minute.
 func (l *Ledger) RecentCPUSeconds(team string, now time.Time) float64 {
 	return l.recent[team].decayed(now)
 }
