--- a/internal/accounting/encoding.go
+++ b/internal/accounting/encoding.go
@@ -22,8 +22,8 @@
 // WatermarkKey is the stored key of the Watermark, which is written with every part and read by the next leader.
 const WatermarkKey = "usage-mark"
 
-// Watermark records when usage was last written and the last task attempt that had been ordered by then. The
-// next leader counts the usage of attempts up to that one which it finds running, from that time on.
+// Watermark records when usage was last written and the last task attempt that had been ordered by then. For
+// attempts up to that one that the next leader finds running, it counts usage from that time on.
 type Watermark struct {
 	AtMS    int64  `json:"at_ms"`
 	Attempt uint64 `json:"attempt"`
--- a/internal/accounting/recent.go
+++ b/internal/accounting/recent.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// halfLife is the half-life of recent usage.
+// halfLife is the time after which recent usage has decayed to half.
 const halfLife = time.Minute
 
 // Recent is a team's recent usage, in CPU seconds, exponentially decayed up to At.
--- a/internal/leadership/elector.go
+++ b/internal/leadership/elector.go
@@ -53,7 +53,7 @@
 const (
 	Following   State = iota // another process leads, or no leader is known
 	Campaigning              // a lease grant or a write of the key is in flight
-	Leading                  // this process wrote the current value of the key
+	Leading                  // this process holds the key as of the last check
 )
 
 // String returns the name of the state used in log lines.
