--- a/internal/controller/accounts.go
+++ b/internal/controller/accounts.go
@@ -10,24 +10,24 @@
 	"github.com/marlwood/marlwood/internal/store"
 )
 
-// maxAccountsTxnBytes bounds what one transaction writes of the accounts: each record is written whole.
+// maxAccountsTxnBytes limits the size of the account records in one transaction. Each record is written whole.
 const maxAccountsTxnBytes = 48 << 10
 
-// Pauses between flushes of the accounts, other than the one of the settings.
+// Waits before the next access to the accounts in cases where the configured flush interval does not apply.
 const (
-	accountsRetryWait   = time.Second // to read them, or to write what is left or was not written
-	accountsInvalidWait = time.Minute // after accounts that cannot be read
+	accountsRetryWait   = time.Second // before a read or a failed write is retried, or the rest of the changes is written
+	accountsInvalidWait = time.Minute // after stored accounts that cannot be decoded
 )
 
-// usageAccounts is what a leader keeps to store what teams used. Only the loop uses it.
+// usageAccounts is a leader's state for storing the teams' usage. It is only used on the loop.
 type usageAccounts struct {
-	accounts          *accounting.Accounts // nil: nothing was used yet, or nothing is kept
-	watermarkRevision uint64               // of the stored watermark as last known; 0: there is none
-	knownRevision     uint64               // of the state service, up to which the accounts are known
+	accounts          *accounting.Accounts // nil: accounting is disabled, or there has been no flush yet
+	watermarkRevision uint64               // last known revision of the stored watermark; 0: there is none
+	knownRevision     uint64               // revision of the state service up to which the accounts are known
 	nextFlush         time.Time
 }
 
-// stored returns the usage that is certainly stored; known is false as long as it isn't known what that is.
+// stored returns the usage that is certainly stored. known is false while the stored usage is not known.
 func (u *usageAccounts) stored() (rows []accounting.Row, known bool) {
 	if u.accounts == nil {
 		return nil, false
@@ -40,9 +40,9 @@
 	return !now.Before(u.nextFlush) && (u.accounts == nil || u.accounts.Phase() != accounting.Writing)
 }
 
-// flushAccounts writes what teams have used, one transaction at a time. It has the lowest priority of the
-// leader's writes (see store.Txn.LowPriority): a flush for which the budget has nothing left waits, and the
-// next one holds all of it.
+// flushAccounts writes the teams' usage, one transaction at a time. These transactions have the lowest priority
+// of the leader's writes (see store.Txn.LowPriority). If the write budget is used up, the changes wait and are
+// part of the next flush.
 func (t *leaderTerm) flushAccounts(now time.Time) {
 	if t.ctrl.settings.Accounts.Keep != "yes" || !t.scheduler.Complete() || !t.usage.flushDue(now) {
 		return
@@ -64,13 +64,13 @@
 	t.reportUsage()
 }
 
-// writeAccountChanges writes as many of the changed records as one transaction takes.
+// writeAccountChanges writes as many of the changed records as fit into one transaction.
 func (t *leaderTerm) writeAccountChanges(now time.Time, watermark accounting.Watermark) {
 	t.usage.nextFlush = now.Add(t.ctrl.settings.Accounts.Flush)
 	maxRecords := max(2, min(t.ctrl.cfg.TxnOps-1, maxAccountsTxnBytes/t.ctrl.cfg.ValueBytes))
 	changes, err := t.usage.accounts.Next(maxRecords, t.ctrl.cfg.ValueBytes)
 	if err != nil {
-		t.ctrl.log.Error("accounts", "err", err)
+		t.ctrl.log.Error("some account changes cannot be written", "err", err)
 	}
 	if len(changes) > 0 {
 		t.writeAccounts(changes, watermark)
@@ -80,7 +80,7 @@
 	}
 }
 
-// reportUsage gives what teams have used to the metrics and the log, as far as they are on.
+// reportUsage passes the teams' usage to the metrics and to the debug log, if they are enabled.
 func (t *leaderTerm) reportUsage() {
 	if t.ctrl.metrics != nil {
 		rows, _ := t.usage.stored()
@@ -91,14 +91,15 @@
 	}
 }
 
-// withdrawUsage takes what teams have used from the metrics while another controller may lead: that one knows more.
+// withdrawUsage removes the teams' usage from the metrics when this controller holds no leader lease: another
+// controller may lead then, and its figures are newer.
 func (t *leaderTerm) withdrawUsage(now time.Time) {
 	if t.ctrl.metrics != nil && !t.ctrl.elector.HoldsLease(now) {
 		t.ctrl.metrics.Usage(nil)
 	}
 }
 
-// logUsage logs what all teams together have used.
+// logUsage logs the total usage of all teams.
 func (t *leaderTerm) logUsage(rows []accounting.Row) {
 	var sums [3]float64
 	for _, row := range rows {
@@ -106,10 +107,10 @@
 			sums[k] += row.Sums[k].CPUSeconds()
 		}
 	}
-	t.ctrl.log.Debug("accounts", "run_cpu_s", sums[accounting.Run], "wait_cpu_s", sums[accounting.Wait], "lost_cpu_s", sums[accounting.Wasted])
+	t.ctrl.log.Debug("total usage of all teams", "run_cpu_s", sums[accounting.Run], "wait_cpu_s", sums[accounting.Wait], "lost_cpu_s", sums[accounting.Wasted])
 }
 
-// readAccounts reads the stored accounts, to which those of this term are added. It runs outside the loop.
+// readAccounts reads the stored accounts, to which the usage of this term is added. It runs outside the loop.
 func (t *leaderTerm) readAccounts() {
 	items, revision, err := t.ctrl.store.List(t.ctx, accounting.Prefix)
 	var watermark store.Item
@@ -119,8 +120,9 @@
 		}
 	}
 	t.ctrl.post(func() {
-		// Guard: of two reads under way the earlier one may be answered last, after writes that followed the other.
-		// Its older sums would be told, and counted on (TestLateReadOfAccounts).
+		// Guard: two reads may be in flight, and the earlier one may be answered last, after writes that followed
+		// the later one. Without this check its outdated sums would be reported and added to
+		// (TestOutdatedAccountsReadIsIgnored).
 		outdated := revision < t.usage.knownRevision
 		if err != nil || t.ctx.Err() != nil || outdated || t.usage.accounts.Phase() != accounting.Loading {
 			return
@@ -130,8 +132,8 @@
 			all = append(all, accounting.Item{Key: item.Key, Value: item.Value, Revision: item.Revision})
 		}
 		t.usage.watermarkRevision, t.usage.knownRevision = watermark.Revision, revision
-		if err := t.usage.accounts.Load(all); err != nil { // another version's, or damaged: left as it is
-			t.ctrl.log.Error("accounts are not written", "err", err)
+		if err := t.usage.accounts.Load(all); err != nil { // written by another version, or damaged: the records stay unchanged
+			t.ctrl.log.Error("stored accounts are invalid; usage is not written", "err", err)
 			t.usage.nextFlush = t.ctrl.env.Now().Add(accountsInvalidWait)
 		}
 	})
@@ -140,9 +142,9 @@
 // accountsTxn adds changed records and their watermark, with the revisions that were read or written last,
 // to a transaction that has the leader's precondition.
 //
-// Guard: two transactions need not have a record in common. One that was executed late, after another one,
-// put the watermark back, and the next leader counted again what is in the other one's records
-// (TestLateMarkIsVoid).
+// Guard: two transactions need not have a record in common. Without the precondition on the watermark, a
+// transaction that was executed late, after another one, set the watermark back. The next leader then counted
+// the usage in the other transaction's records twice (TestLateAccountsWriteFails).
 func accountsTxn(txn store.Txn, changes []accounting.Change, watermark accounting.Watermark, watermarkRevision uint64) store.Txn {
 	txn.Preconditions = append(txn.Preconditions, store.Precondition{Key: accounting.WatermarkKey, Revision: watermarkRevision})
 	txn.Writes = append(txn.Writes, store.Put(accounting.WatermarkKey, watermark))
@@ -157,7 +159,7 @@
 	return txn
 }
 
-// writeAccounts sends a transaction of changed records.
+// writeAccounts commits the changed records in one transaction, asynchronously.
 func (t *leaderTerm) writeAccounts(changes []accounting.Change, watermark accounting.Watermark) {
 	txn := accountsTxn(t.newTxn(), changes, watermark, t.usage.watermarkRevision)
 	txn.LowPriority = true
@@ -170,7 +172,7 @@
 				t.usage.watermarkRevision, t.usage.knownRevision = result.Revision, result.Revision
 				t.usage.accounts.TxnCommitted(result.Revision)
 			default:
-				t.ctrl.log.Debug("accounts are read again", "err", err, "failed", result.Failed)
+				t.ctrl.log.Debug("account write failed; reading the stored accounts again", "err", err, "failed", result.Failed)
 				t.usage.accounts.TxnFailed()
 				t.usage.nextFlush = t.ctrl.env.Now().Add(accountsRetryWait)
 			}
@@ -178,10 +180,10 @@
 	})
 }
 
-// secondsPerHour converts CPU seconds, which are accounted, to CPU hours, which operators see.
+// secondsPerHour converts the accounted CPU seconds to the CPU hours that operators see.
 const secondsPerHour = 3600
 
-// addUsage adds to the rows of teams what they have used since accounts are kept.
+// addUsage adds the usage since the start of accounting to the rows of the teams.
 func addUsage(rows []*operatorspb.Team, used []accounting.Row) {
 	teams := map[string]*operatorspb.Team{}
 	for _, row := range rows {
--- a/internal/controller/accounts_reads_test.go
+++ b/internal/controller/accounts_reads_test.go
@@ -10,7 +10,7 @@
 	"github.com/marlwood/marlwood/internal/store"
 )
 
-// listingStore lists the records of one earlier term, as of a revision.
+// listingStore is a store whose List returns fixed records at a fixed revision.
 type listingStore struct {
 	Store
 	revision uint64
@@ -25,12 +25,12 @@
 	return store.Item{}, store.ErrNotFound
 }
 
-// A read of the accounts that is answered late does not replace what is known since.
+// Checks that a read of the accounts that is answered late does not replace newer data.
 //
-// While the accounts are read, the read is repeated every second, so two may be under way. If the earlier one is
-// answered last, and the accounts are to be read again by then after a failed write, its older sums took the place of
-// the newer ones: what teams had used went back, and was written so.
-func TestLateReadOfAccounts(t *testing.T) {
+// Until the accounts are read, the read is repeated every second, so two reads may be in flight. The earlier one may be
+// answered last, at a time when a failed write requires another read. Its older sums then replaced the newer ones: the
+// teams' usage decreased, and the decreased usage was stored.
+func TestOutdatedAccountsReadIsIgnored(t *testing.T) {
 	const seconds = 100
 	term, _, _ := leading(t)
 	events := term.ctrl.env.(*liveEnvironment).events
@@ -59,10 +59,10 @@
 	late()
 	rows := term.usage.accounts.Rows()
 	if len(rows) != 1 || rows[0].Sums[accounting.Run].CPUSeconds() != seconds {
-		t.Errorf("known are %v", rows)
+		t.Errorf("usage after an outdated read: %v", rows)
 	}
 	read(30, store.Item{Key: changes[0].Key, Value: changes[0].Value, Revision: 15})()
 	if term.usage.accounts.Phase() != accounting.Idle {
-		t.Error("a later read does not count")
+		t.Error("a read at a newer revision was ignored")
 	}
 }
--- a/internal/controller/accounts_test.go
+++ b/internal/controller/accounts_test.go
@@ -11,7 +11,8 @@
 	"github.com/marlwood/marlwood/internal/store"
 )
 
-// What a team used outlives its leaders, never goes back, and is what its tasks ran.
+// Checks that a team's reported usage survives the loss of a leader, never decreases, and matches the time that its
+// tasks ran.
 func TestAccounts(t *testing.T) {
 	s := newSite(t, func(_ int, _ *settings.Platform, op *settings.Operator) {
 		op.Accounts.Keep, op.Accounts.Flush = "yes", 100*time.Millisecond
@@ -43,7 +44,7 @@
 		last = now
 		if now := used(); now > 0 {
 			if now < most {
-				t.Errorf("%v CPU seconds after %v", now, most)
+				t.Errorf("usage decreased: %v CPU seconds after %v", now, most)
 			}
 			most = now
 		}
@@ -52,28 +53,29 @@
 			s.down = s.stopLeader()
 		}
 	}
-	// Missing may be a flush and a takeover, and what ran before the first look.
+	// The reported usage may lack one flush interval, a takeover, and the time before the first query.
 	if most > ran*1.1+2 || most < ran*0.3 {
-		t.Errorf("%v of %v CPU seconds are counted", most, ran)
+		t.Errorf("%v of %v CPU seconds are accounted", most, ran)
 	}
-	t.Logf("%.1f of %.1f CPU seconds are counted", most, ran)
+	t.Logf("%.1f of %.1f CPU seconds are accounted", most, ran)
 	if !s.state.Has(accounting.WatermarkKey) {
-		t.Error("nothing is stored")
+		t.Error("no watermark is stored")
 	}
 }
 
-// A write of accounts that is executed late, after a newer one, replaces neither its records nor its
-// watermark, whatever records the two have.
-func TestLateMarkIsVoid(t *testing.T) {
+// Checks that a write of accounts that is executed late, after a newer one, fails and changes neither records nor the
+// watermark, whether or not the two writes have a record in common. Otherwise the watermark goes back, and the next
+// leader counts usage twice.
+func TestLateAccountsWriteFails(t *testing.T) {
 	one, other := accounting.Change{Key: accounting.Prefix + "1/01", Value: []byte(`"1"`)}, accounting.Change{Key: accounting.Prefix + "1/02", Value: []byte(`"2"`)}
 	for _, c := range []struct {
 		name   string
 		stored bool // there is a watermark already
 		newer  []accounting.Change
 	}{
-		{"the same line", true, []accounting.Change{one}},
-		{"another line", true, []accounting.Change{other}},
-		{"another line, the first mark", false, []accounting.Change{other}},
+		{"the same record", true, []accounting.Change{one}},
+		{"another record", true, []accounting.Change{other}},
+		{"another record, the first watermark", false, []accounting.Change{other}},
 	} {
 		kv := simulation.NewStore(simulation.New(1), 16)
 		revision := uint64(0)
@@ -84,15 +86,15 @@
 			}
 			revision = out.Revision
 		}
-		late := accountsTxn(store.Txn{}, []accounting.Change{one}, accounting.Watermark{AtMS: 10}, revision) // no answer; nothing of it is read
+		late := accountsTxn(store.Txn{}, []accounting.Change{one}, accounting.Watermark{AtMS: 10}, revision) // unanswered; executed below, after the newer write
 		if out, err := kv.Txn(accountsTxn(store.Txn{}, c.newer, accounting.Watermark{AtMS: 20}, revision)); err != nil || !out.Succeeded() {
 			t.Fatal(out, err)
 		}
 		if out, err := kv.Txn(late); err != nil || out.Succeeded() {
-			t.Errorf("%s: the late one: %v %v", c.name, out, err)
+			t.Errorf("%s: result of the late write: %v, %v", c.name, out, err)
 		}
 		if it, err := kv.Get(accounting.WatermarkKey); err != nil || string(it.Value) != `{"at_ms":20,"attempt":0}` {
-			t.Errorf("%s: the mark is %s, %v", c.name, it.Value, err)
+			t.Errorf("%s: the watermark is %s, %v", c.name, it.Value, err)
 		}
 	}
 }
--- a/internal/controller/drain_records.go
+++ b/internal/controller/drain_records.go
@@ -15,14 +15,15 @@
 	"github.com/marlwood/marlwood/internal/store"
 )
 
-// drainRecords is what a leader keeps of the stored drains. Only the loop uses it.
+// drainRecords is a leader's copy of the stored drains, with the state of their changes. It is only used on the loop.
 type drainRecords struct {
-	records      map[string]store.Item // as stored, by key
-	fence        fence                 // orders their changes
-	pending      []pendingDrain        // requests that wait for their answer
-	nextSweep    time.Time             // when drains of nodes that are gone are looked for
-	unknownSince map[string]time.Time  // by key: since when the drained node is not known
-	// unsettled tells that a change has an unknown outcome: what is stored, now or later, may differ from records.
+	records      map[string]store.Item // last known stored records, by key
+	fence        fence                 // orders the changes of drains
+	pending      []pendingDrain        // recorded drains whose requests are not answered yet
+	nextSweep    time.Time             // when removeStaleDrains runs next
+	unknownSince map[string]time.Time  // by key of the drain: since when its node is unknown
+	// unsettled is set while the outcome of a change is unknown. The stored drains may then differ from records,
+	// now or later.
 	unsettled bool
 }
 
@@ -44,7 +45,7 @@
 	return items
 }
 
-// replace makes listed the records, and reports whether that changed anything.
+// replace sets the records to those listed, and reports whether that changed anything.
 func (d *drainRecords) replace(listed map[string]store.Item) (changed bool) {
 	sameRevision := func(x, y store.Item) bool { return x.Revision == y.Revision }
 	if maps.EqualFunc(d.records, listed, sameRevision) {
@@ -54,8 +55,8 @@
 	return true
 }
 
-// nodeUnknown records that the node of a drain is not known, and reports whether that has lasted so long
-// that the drain is to be removed. It says so once in unknownNodeWait.
+// nodeUnknown records that the node of a drain is not known. It reports whether the node has been unknown for
+// so long that the drain is to be removed, at most once per unknownNodeWait.
 func (d *drainRecords) nodeUnknown(key string, now time.Time) (remove bool) {
 	since, seen := d.unknownSince[key]
 	if !seen {
@@ -69,23 +70,23 @@
 	return true
 }
 
-// recordDrain writes a drain's record or removes it, as the first write of txn says, and tells what
-// became of it on the loop: the stored record, or the error that the operator sees.
+// recordDrain commits txn, whose first write sets or deletes a drain's record. It calls done on the loop with
+// the stored record, or with the error that the operator sees.
 //
-// Guard: a transaction without an answer may be executed, at once or much later. The key is read back,
-// and all records are read again for a while: what is stored must be in force.
+// Guard: a transaction without an answer may be executed, at once or much later. The key is read back, and all
+// records are listed again for some time, because every stored drain must be in force.
 func (t *leaderTerm) recordDrain(txn store.Txn, done func(store.Item, error)) {
 	if !t.drains.fence.run(func() { t.writeDrain(txn, done) }) {
 		done(store.Item{}, tooManyDrainChanges())
 	}
 }
 
-// tooManyDrainChanges refuses a change of drains for which there is no room in the queue.
+// tooManyDrainChanges returns the error for a change of drains that is refused because the queue is full.
 func tooManyDrainChanges() error {
 	return status.Errorf(codes.ResourceExhausted, "%d changes of drains are under way: try again", maxQueuedChanges)
 }
 
-// writeDrain executes recordDrain when it is its turn.
+// writeDrain does the work of recordDrain once the fence runs it as the next change.
 func (t *leaderTerm) writeDrain(txn store.Txn, done func(store.Item, error)) {
 	readFirst := t.drains.fence.state == fenceUnknown
 	txn = t.drains.fence.guard(txn)
@@ -115,7 +116,7 @@
 	})
 }
 
-// drainWritten takes the result of writing or removing a drain's record, on the loop.
+// drainWritten handles the result of writing or deleting a drain's record, on the loop.
 func (t *leaderTerm) drainWritten(write recordWrite, done func(store.Item, error)) {
 	err := t.drainWriteError(write)
 	if t.ctx.Err() != nil && err == nil {
@@ -143,7 +144,7 @@
 // leadershipConflict reports whether a write failed because another controller is the leader.
 func leadershipConflict(write recordWrite) bool { return slices.Contains(write.failed, leadership.Key) }
 
-// drainWriteError is what an operator is told of a write; nil: it was made.
+// drainWriteError returns the error that an operator receives for a write; nil if the write was made.
 func (t *leaderTerm) drainWriteError(write recordWrite) error {
 	switch {
 	case write.outcome == writeCommitted, write.outcome == writeConfirmed:
@@ -160,7 +161,7 @@
 	return write.err
 }
 
-// removeDrain removes a drain's record, and calls done on the loop.
+// removeDrain deletes a drain's record, and calls done on the loop.
 func (t *leaderTerm) removeDrain(recorded store.Item, done func(error)) {
 	txn := t.newTxn(store.Delete(recorded.Key))
 	txn.Preconditions = append(txn.Preconditions, store.Precondition{Key: recorded.Key, Revision: recorded.Revision})
@@ -174,7 +175,7 @@
 	})
 }
 
-// publishDrains gives the scheduler the drains that are recorded.
+// publishDrains passes the recorded drains to the scheduler.
 func (t *leaderTerm) publishDrains() {
 	items := t.drains.sorted()
 	t.scheduler.SetDrains(t.ctrl.env.Now(), items)
@@ -186,9 +187,11 @@
 	sweepInterval   = 10 * time.Second
 )
 
-// removeStaleDrains removes the records of drains whose node is gone: names are never used again.
+// removeStaleDrains removes the drains of nodes that no longer exist. The names of nodes are never reused, so such
+// a drain has no use.
 //
-// Guard: a new leader may not have had a heartbeat of the node yet.
+// Guard: a new leader may not have received a heartbeat from the node yet. Only nodes that stay unknown for
+// unknownNodeWait after the takeover is complete count as gone.
 func (t *leaderTerm) removeStaleDrains(now time.Time) {
 	if now.Before(t.drains.nextSweep) || !t.scheduler.Complete() || len(t.drains.records) == 0 {
 		return
@@ -201,7 +204,7 @@
 			continue
 		}
 		if t.drains.nodeUnknown(key, now) {
-			t.ctrl.log.Info("drained node is gone, its drain ends", "node", node)
+			t.ctrl.log.Info("drained node no longer exists; removing its drain", "node", node)
 			t.removeDrain(recorded, func(error) {})
 		}
 	}
--- a/internal/controller/drain_requests.go
+++ b/internal/controller/drain_requests.go
@@ -17,18 +17,18 @@
 	"github.com/marlwood/marlwood/internal/store"
 )
 
-// Bounds of drains: how many there are at once, and what their records hold, which must fit the smallest
-// value size that the key-value store may be configured to accept.
+// Limits on the number of drains and on the contents of their records. A record must fit into the smallest value
+// size that the key-value store may be configured to accept.
 const (
 	maxDrains        = 256
 	maxDrainDeadline = 7 * 24 * time.Hour
 	maxReasonBytes   = 200
 )
 
-// maxListedUnplaceable is how many jobs without free capacity the refusal of a drain names.
+// maxListedUnplaceable limits how many jobs without free capacity elsewhere the refusal of a drain names.
 const maxListedUnplaceable = 5
 
-// handleDrain records a drain, and answers once no start that was ordered before it can still be
+// handleDrain records a drain. It replies once no task start that was ordered before the drain can still be
 // executed.
 func (t *leaderTerm) handleDrain(caller *operatorspb.Caller, request *operatorspb.DrainRequest, reply operatorReply) {
 	scope, name, err := drainTarget(request.Node, request.Zone, request.Type)
@@ -55,7 +55,7 @@
 	t.whenDrainsKnown(reply, func() { t.drain(drain, reply) })
 }
 
-// drain answers a valid request when it is known which drains are stored.
+// drain handles a valid request after it is known which drains are stored.
 func (t *leaderTerm) drain(drain *placement.Drain, reply operatorReply) {
 	now := t.ctrl.env.Now()
 	if recorded, ok := t.drains.records[drain.Key()]; ok {
@@ -69,7 +69,7 @@
 	t.recordNewDrain(drain, reply)
 }
 
-// recordNewDrain records a drain that was checked, and lets the request wait for its answer.
+// recordNewDrain records a checked drain. The request is answered later, see awaitStarts.
 func (t *leaderTerm) recordNewDrain(drain *placement.Drain, reply operatorReply) {
 	txn := t.newTxn(store.Put(drain.Key(), drain))
 	txn.Preconditions = append(txn.Preconditions, store.Precondition{Key: drain.Key()})
@@ -85,7 +85,7 @@
 	})
 }
 
-// drainDeadline is how long after its start a requested drain ends the tasks that still run; 0: never.
+// drainDeadline returns how long after its start a requested drain stops the tasks that still run; 0: never.
 func drainDeadline(request *operatorspb.DrainRequest) time.Duration {
 	return time.Duration(request.DeadlineS * float64(time.Second))
 }
@@ -102,7 +102,7 @@
 	return nil
 }
 
-// drainTarget is the scope and the name that a request drains.
+// drainTarget returns the scope and the name of what a request is to drain or undrain.
 func drainTarget(node, zone, machineType string) (placement.Scope, string, error) {
 	var scope placement.Scope
 	var name string
@@ -128,7 +128,7 @@
 	return scope, name, nil
 }
 
-// checkTargetExists reports whether there is such a node, zone or type.
+// checkTargetExists returns an error if there is no such node, zone or type.
 func (t *leaderTerm) checkTargetExists(scope placement.Scope, name string) error {
 	var known []string
 	switch scope {
@@ -153,7 +153,7 @@
 	return status.Errorf(codes.NotFound, "%s: no %q; there are %s", scope, name, strings.Join(slices.Compact(known), ", "))
 }
 
-// checkDrainAllowed tells why a drain that is not recorded yet is refused.
+// checkDrainAllowed returns the reason to refuse a drain that is not recorded yet, if there is one.
 func (t *leaderTerm) checkDrainAllowed(now time.Time, drain *placement.Drain) error {
 	if err := t.checkTargetExists(drain.Scope, drain.Name); err != nil {
 		return err
@@ -167,7 +167,7 @@
 	return nil
 }
 
-// checkFreeCapacity refuses a drain that would leave tasks without free capacity elsewhere.
+// checkFreeCapacity returns an error if a drain would leave tasks without free capacity elsewhere.
 func (t *leaderTerm) checkFreeCapacity(now time.Time, drain *placement.Drain) error {
 	covered, unplaceable := t.scheduler.DrainCheck(now, drain)
 	if len(unplaceable) == 0 {
@@ -185,13 +185,13 @@
 		covered, drain.Target(), strings.Join(lines, "; "))
 }
 
-// sameDrainRequest reports whether an operator asked twice for the same drain. The second request is then a
-// repetition, for instance after an answer that was lost.
+// sameDrainRequest reports whether two requests of an operator ask for the same drain. The second one is then a
+// retry, for instance after a lost answer.
 func sameDrainRequest(x, y *placement.Drain) bool {
 	return x.Who == y.Who && x.Keep == y.Keep && x.Force == y.Force && x.Reason == y.Reason && timeAllowed(x) == timeAllowed(y)
 }
 
-// timeAllowed is how long after its start a drain ends the tasks that still run; 0: never.
+// timeAllowed returns how long after its start a drain stops the tasks that still run; 0: never.
 func timeAllowed(drain *placement.Drain) time.Duration {
 	if drain.Deadline.IsZero() {
 		return 0
@@ -199,8 +199,8 @@
 	return drain.Deadline.Sub(drain.Since)
 }
 
-// answerRepeatedDrain answers a request to drain what is drained already: it waits like the first one if
-// it is the same, and is refused if it differs.
+// answerRepeatedDrain handles a request for a target that is drained already. A request that is the same as the
+// first one waits like it; a different one is refused.
 func (t *leaderTerm) answerRepeatedDrain(now time.Time, drain *placement.Drain, recorded store.Item, reply operatorReply) {
 	var existing placement.Drain
 	if err := json.Unmarshal(recorded.Value, &existing); err != nil {
@@ -215,7 +215,7 @@
 		existing.Since.Format(time.RFC3339), existing.Who))
 }
 
-// handleUndrain removes a drain's record, and answers with the drain as it was.
+// handleUndrain removes a drain's record, and replies with the drain as it was before.
 func (t *leaderTerm) handleUndrain(request *operatorspb.UndrainRequest, reply operatorReply) {
 	scope, name, err := drainTarget(request.Node, request.Zone, request.Type)
 	if err != nil {
@@ -226,7 +226,7 @@
 	t.whenDrainsKnown(reply, func() { t.undrain(drain, reply) })
 }
 
-// undrain ends a drain when it is known which drains are stored.
+// undrain ends a drain after it is known which drains are stored.
 func (t *leaderTerm) undrain(drain *placement.Drain, reply operatorReply) {
 	recorded, ok := t.drains.records[drain.Key()]
 	if !ok {
@@ -243,7 +243,7 @@
 	})
 }
 
-// handleDrains answers with all drains in force.
+// handleDrains replies with all drains in force.
 func (t *leaderTerm) handleDrains(reply operatorReply) {
 	t.whenDrainsKnown(reply, func() {
 		rows := t.scheduler.DrainRows(t.ctrl.env.Now())
@@ -251,7 +251,7 @@
 	})
 }
 
-// pendingDrain is a drain that is recorded and not yet answered.
+// pendingDrain is a recorded drain whose request is not answered yet.
 type pendingDrain struct {
 	target   string
 	key      string
@@ -260,10 +260,10 @@
 	reply    operatorReply
 }
 
-// drainReplyWait bounds how long an answer waits for starts that were ordered before the drain.
+// drainReplyWait limits how long a reply is delayed by task starts that were ordered before the drain.
 const drainReplyWait = 8 * time.Second
 
-// awaitStarts lets a request wait until no start that was ordered before its drain can be executed.
+// awaitStarts delays the reply to a request until no task start that was ordered before its drain can be executed.
 func (d *drainRecords) awaitStarts(drain *placement.Drain, revision uint64, now time.Time, reply operatorReply) {
 	d.pending = append(d.pending, pendingDrain{
 		target:   drain.Target(),
@@ -274,20 +274,22 @@
 	})
 }
 
-// answerPendingDrains answers the drains that are complete or have waited for too long.
+// answerPendingDrains answers the pending requests that are complete or have timed out.
 func (t *leaderTerm) answerPendingDrains(now time.Time) {
 	t.drains.pending = slices.DeleteFunc(t.drains.pending, func(pending pendingDrain) bool {
 		return t.answerPendingDrain(now, pending)
 	})
 }
 
-// answerPendingDrain answers a drain if it is time to, and reports whether it did.
+// answerPendingDrain answers a pending request if its drain is complete or the wait has timed out, and reports
+// whether it did.
 //
-// Guard: no task starts on a drained machine after the answer. A start that was ordered just before may
-// be on its way to the machine; its outcome is known once a heartbeat was sent after it.
+// Guard: no task may start on a drained machine after the reply. A start that was ordered just before the drain may
+// still be on its way to the machine; its outcome is known after the machine has sent a later heartbeat.
 //
-// Guard: another operator may have removed the drain meanwhile. Answered that the machine was drained,
-// the first one saw tasks start there (found by the explorer, seed 50063006).
+// Guard: another operator may have removed the drain meanwhile. Without the check of the record, the first operator
+// received the answer that the machine was drained, and then saw tasks start there (found by the explorer, seed
+// 50063006).
 func (t *leaderTerm) answerPendingDrain(now time.Time, pending pendingDrain) (answered bool) {
 	if recorded, ok := t.drains.records[pending.key]; !ok || recorded.Revision != pending.revision {
 		pending.reply(nil, status.Errorf(codes.Aborted, "somebody else has undrained %s just now: look at marlwood drains", pending.target))
--- a/internal/controller/drain_settling.go
+++ b/internal/controller/drain_settling.go
@@ -8,11 +8,12 @@
 	"github.com/marlwood/marlwood/internal/store"
 )
 
-// whenDrainsKnown calls do when it is certain which drains are stored: at once, or after settling the changes whose
-// outcome is unknown. If that isn't to be found out now, the operator's request is refused.
+// whenDrainsKnown calls do once it is certain which drains are stored: immediately, or after settleDrains if the
+// outcome of a change is unknown. If settleDrains fails, the operator's request is refused.
 //
-// Guard: told by what was read before such a change, an operator heard that a zone was not drained; the change had been
-// executed, and the zone stayed drained for good (TestUndrainAfterALostAnswer).
+// Guard: without this, an undrain request was answered from the drains that were read before the change of unknown
+// outcome. The operator received the answer that a zone was not drained, although the change had been executed, and
+// the zone stayed drained for good (TestUndrainAfterALostAnswer).
 func (t *leaderTerm) whenDrainsKnown(reply operatorReply, do func()) {
 	if !t.drains.unsettled {
 		do()
@@ -27,15 +28,16 @@
 	})
 }
 
-// settleDrains voids the changes of drains whose outcome is unknown, by a change of the fence alone, and reads which
-// drains are stored. It calls done on the loop, with the error that an operator sees.
+// settleDrains resolves the changes of drains whose outcome is unknown: it commits a change of the fence only, so that
+// such a change fails if it is not executed yet, and then lists the stored drains. It calls done on the loop, with the
+// error that an operator sees.
 func (t *leaderTerm) settleDrains(done func(error)) {
 	if !t.drains.fence.run(func() { t.runSettling(done) }) {
 		done(tooManyDrainChanges())
 	}
 }
 
-// runSettling executes settleDrains when it is its turn.
+// runSettling does the work of settleDrains once the fence runs it as the next change.
 func (t *leaderTerm) runSettling(done func(error)) {
 	txn := t.drains.fence.guard(t.newTxn())
 	t.ctrl.env.Go(func() {
@@ -60,8 +62,8 @@
 	})
 }
 
-// commitFence commits a transaction that writes nothing but the fence, whatever the fence's revision is by now, and
-// returns the next one, 0 if that is unknown. It runs outside the loop.
+// commitFence commits a transaction that only writes the fence, on condition of the fence's present revision, which it
+// reads first. It returns the new revision, or 0 if that is unknown. It runs outside the loop.
 func (t *leaderTerm) commitFence(txn store.Txn) (revision uint64, err error) {
 	known, err := t.readFence(drainsFence)
 	if err != nil {
