--- a/internal/controller/operators.go
+++ b/internal/controller/operators.go
@@ -16,13 +16,11 @@
 	Pass(ctx context.Context, request *operatorspb.Request) (*operatorspb.Reply, error)
 }
 
-// operatorReply takes the reply to an operator's request or the error, a gRPC status. It is
-// called once.
+// operatorReply receives the reply to an operator's request, or a gRPC status error. It is called once.
 type operatorReply func(*operatorspb.Reply, error)
 
-// HandleOperatorRequest answers an operator's request: here if this controller is the leader,
-// otherwise it forwards the request to the leader. It waits for the answer and must not be called
-// on the loop.
+// HandleOperatorRequest answers an operator's request if this controller is the leader, and otherwise forwards it to
+// the leader. It waits for the answer and must not be called on the loop.
 func (c *Controller) HandleOperatorRequest(ctx context.Context, request *operatorspb.Request) (*operatorspb.Reply, error) {
 	type outcome struct {
 		reply *operatorspb.Reply
@@ -42,11 +40,11 @@
 	}
 }
 
-// maxHops bounds how often a request is forwarded while leaders change.
+// maxHops limits how often a request is forwarded between controllers while the leader changes.
 const maxHops = 2
 
-// HandleOperatorRequestOnLoop does the same on the loop, without waiting. reply is called once, on the
-// loop or outside it.
+// HandleOperatorRequestOnLoop is HandleOperatorRequest for callers on the loop: it does not wait for the answer. It
+// calls reply once, on the loop or outside it.
 func (c *Controller) HandleOperatorRequestOnLoop(ctx context.Context, now time.Time, request *operatorspb.Request, reply func(*operatorspb.Reply, error)) {
 	if c.term != nil && c.elector.HoldsLease(now) {
 		c.term.handleOperatorRequest(now, request, reply)
@@ -62,14 +60,14 @@
 		c.env.Go(func() { reply(link.Pass(ctx, request)) })
 		return
 	}
-	if request.GetStatus() != nil { // every controller knows as much
+	if request.GetStatus() != nil { // controllers that are not the leader also answer this
 		reply(&operatorspb.Reply{What: &operatorspb.Reply_Status{Status: &operatorspb.StatusResponse{Member: c.cfg.Member, Leader: leader}}}, nil)
 		return
 	}
 	reply(nil, status.Errorf(codes.Unavailable, "no controller leads that %s knows of; one does within %v, as a rule", c.cfg.Member, 2*c.timing.KeyLease))
 }
 
-// handleOperatorRequest answers as the leader.
+// handleOperatorRequest answers an operator's request as the leader.
 func (t *leaderTerm) handleOperatorRequest(now time.Time, request *operatorspb.Request, reply operatorReply) {
 	if !t.loaded {
 		reply(nil, status.Errorf(codes.Unavailable, "%s has led for %v and still reads the records", t.ctrl.cfg.Member, now.Sub(t.began).Round(time.Millisecond)))
@@ -105,7 +103,7 @@
 	}
 }
 
-// failPendingRequests answers the operators whose requests wait when the term ends.
+// failPendingRequests answers the operators' pending requests with errors when the term ends.
 func (t *leaderTerm) failPendingRequests() {
 	for _, pending := range t.drains.pending {
 		pending.reply(nil, status.Errorf(codes.Unknown, "%s is recorded, but the leader has changed since: the next one goes on with it", pending.target))
--- a/internal/controller/queries.go
+++ b/internal/controller/queries.go
@@ -17,19 +17,19 @@
 	"github.com/marlwood/marlwood/internal/store"
 )
 
-// handleJobs answers with a page of the open jobs.
+// handleJobs replies with a page of the open jobs.
 func (t *leaderTerm) handleJobs(now time.Time, request *operatorspb.JobsRequest, reply operatorReply) {
 	rows, more := t.scheduler.JobRows(now, request.After)
 	reply(&operatorspb.Reply{What: &operatorspb.Reply_Jobs{Jobs: &operatorspb.JobsResponse{Rows: rows, More: more}}}, nil)
 }
 
-// handleNodes answers with a page of the machines.
+// handleNodes replies with a page of the machines.
 func (t *leaderTerm) handleNodes(now time.Time, request *operatorspb.NodesRequest, reply operatorReply) {
 	rows, more := t.scheduler.MachineRows(now, request.After)
 	reply(&operatorspb.Reply{What: &operatorspb.Reply_Nodes{Nodes: &operatorspb.NodesResponse{Rows: rows, More: more}}}, nil)
 }
 
-// handleTeams answers with all teams and what they have used.
+// handleTeams replies with all teams and their usage.
 func (t *leaderTerm) handleTeams(reply operatorReply) {
 	if t.ctrl.settings.Accounts.Keep != "yes" {
 		t.answerTeams(false, reply)
@@ -41,8 +41,8 @@
 	})
 }
 
-// answerTeams answers with all teams. What they have used is known if this controller led when it was asked and knows
-// what is stored.
+// answerTeams replies with all teams. It includes their usage only if leads is set, that is, the state service confirmed
+// that this controller is the leader, and the stored usage is known.
 func (t *leaderTerm) answerTeams(leads bool, reply operatorReply) {
 	rows := t.scheduler.TeamRows()
 	used, known := t.usage.stored()
@@ -56,13 +56,13 @@
 	reply(&operatorspb.Reply{What: &operatorspb.Reply_Teams{Teams: &operatorspb.TeamsResponse{Rows: rows}}}, nil)
 }
 
-// leadershipCheckTimeout bounds how long an answer waits for the state service to say who leads.
+// leadershipCheckTimeout limits how long a reply waits for the state service to confirm the leader.
 const leadershipCheckTimeout = time.Second
 
-// stillLeads asks the state service whether the leader key is this controller's. It runs outside the loop.
+// stillLeads reports whether the leader key in the state service names this controller. It runs outside the loop.
 //
-// Guard: the leader lease may outlast the key. A deposed leader told less usage than the next one had told already
-// (simtest, TestDeposedLeaderTellsNoUsage).
+// Guard: the leader lease may outlast the key. Without this check, a deposed leader reported less usage than the next
+// leader had already reported (simtest, TestDeposedLeaderTellsNoUsage).
 func (t *leaderTerm) stillLeads() bool {
 	ctx, cancel := context.WithTimeout(t.ctx, leadershipCheckTimeout)
 	defer cancel()
@@ -75,14 +75,14 @@
 	return err == nil && record.Member == t.ctrl.cfg.Member && record.Boot == t.ctrl.bootID && t.ctx.Err() == nil
 }
 
-// handleStatus answers with a summary of the cluster and its leader.
+// handleStatus replies with a summary of the cluster and its leader.
 func (t *leaderTerm) handleStatus(now time.Time, reply operatorReply) {
 	response := t.scheduler.Status(now)
 	response.Member, response.Leader, response.Token = t.ctrl.cfg.Member, t.ctrl.cfg.Member, t.token
 	reply(&operatorspb.Reply{What: &operatorspb.Reply_Status{Status: response}}, nil)
 }
 
-// handleExplain answers why a job's tasks do not all run.
+// handleExplain replies with the reasons why not all tasks of a job run.
 func (t *leaderTerm) handleExplain(now time.Time, request *operatorspb.ExplainRequest, reply operatorReply) {
 	response := t.scheduler.Explain(now, request.Job)
 	if response == nil {
@@ -95,7 +95,7 @@
 	reply(&operatorspb.Reply{What: &operatorspb.Reply_Explain{Explain: response}}, nil)
 }
 
-// takeoverReason explains that nothing starts before the takeover by this leader is complete.
+// takeoverReason returns the reason that no task starts before the takeover by this leader is complete.
 func (t *leaderTerm) takeoverReason(now time.Time) *operatorspb.Reason {
 	clusterStatus := t.scheduler.Status(now)
 	until := t.ctrl.env.WallClock().Add(t.earlierLeasesExpiry(now).Sub(now))
@@ -107,7 +107,7 @@
 	}
 }
 
-// handleBlockers answers what keeps a job's tasks from being placed, machine by machine.
+// handleBlockers replies with what prevents the placement of a job's tasks, machine by machine.
 func (t *leaderTerm) handleBlockers(now time.Time, request *operatorspb.BlockersRequest, reply operatorReply) {
 	response := t.scheduler.Blockers(now, request.Job)
 	if response == nil {
@@ -117,8 +117,8 @@
 	reply(&operatorspb.Reply{What: &operatorspb.Reply_Blockers{Blockers: response}}, nil)
 }
 
-// answerForClosedJob answers for a job that is neither open nor waiting: it has finished, or nobody
-// submitted it.
+// answerForClosedJob replies with the error for a query about a job that is neither open nor waiting: the job has
+// finished, or nobody submitted it.
 func (t *leaderTerm) answerForClosedJob(id string, reply operatorReply) {
 	if !model.ValidID(id) {
 		reply(nil, status.Errorf(codes.InvalidArgument, "%q cannot be the id of a job", id))
--- a/internal/controller/regions.go
+++ b/internal/controller/regions.go
@@ -12,32 +12,32 @@
 	"github.com/marlwood/marlwood/internal/store"
 )
 
-// quotaPrefix is where a region's state service holds the accounts of teams, one a team.
+// quotaPrefix is the prefix of the keys of the teams' quota accounts in a region's state service, one key per team.
 const quotaPrefix = "quota/"
 
 func quotaKey(team string) string { return quotaPrefix + url.PathEscape(team) }
 
-// RegionPeer is a link to a controller of another region.
+// RegionPeer is a connection to a controller of another region.
 type RegionPeer interface {
 	Exchange(ctx context.Context, m quota.Message) (quota.Message, error)
 	Close() error
 }
 
-// quotaInterval is how often a leader checks where teams' limits are short.
+// quotaInterval is how often a leader checks which teams need more of their limits.
 const quotaInterval = 500 * time.Millisecond
 
-// quotaExchange is what a leader keeps of the teams' limits that its region shares with others. Only the
-// loop uses it.
+// quotaExchange is a leader's state of the teams' limits that its region shares with other regions. It is only used
+// on the loop.
 type quotaExchange struct {
 	ledger       *quota.Ledger
 	links        map[string]*regionLink // by region
 	reading      bool                   // accounts are being read
 	nextExchange time.Time
-	limits       map[string]model.Size // by team, as the scheduler knows them
+	limits       map[string]model.Size // by team, as last passed to the scheduler
 }
 
-// regionLink is the connection to another region. It tries the region's controllers in turn until one is
-// the leader.
+// regionLink is the connection to another region. It tries the region's controllers in turn until it reaches the
+// leader.
 type regionLink struct {
 	addrs    []string
 	current  int        // index of the address in use
@@ -45,11 +45,11 @@
 	inFlight bool       // a message waits for its answer
 }
 
-// newQuotaExchange sets a term's limits across regions up; nil where there is one region only. Until the
-// accounts are read nothing of a limited team may start.
+// newQuotaExchange sets up a term's exchange of limits with other regions. It returns nil if there is only one region.
+// No task of a team with a limit may start until the accounts are read.
 func newQuotaExchange(t *leaderTerm, now time.Time) *quotaExchange {
 	others, err := t.ctrl.fileSettings.OtherRegions()
-	if err != nil || len(others) == 0 { // the settings were checked
+	if err != nil || len(others) == 0 { // no error is expected: the settings were validated before
 		return nil
 	}
 	exchange := &quotaExchange{links: map[string]*regionLink{}, limits: map[string]model.Size{}}
@@ -80,10 +80,10 @@
 	}
 }
 
-// zeroLimit is a limit that allows nothing; 0 is none at all.
+// zeroLimit is a limit that allows no usage; the value 0 means that there is no limit.
 const zeroLimit = 1e-9
 
-// limitSize converts a part of a limit to the unit of tasks' sizes. What is not limited stays so.
+// limitSize converts a part of a limit to the unit of tasks' sizes. Resources without a limit stay without one.
 func limitSize(whole model.Size, part quota.Amount) model.Size {
 	size := part.Size()
 	if whole.CPUs > 0 {
@@ -95,8 +95,8 @@
 	return size
 }
 
-// changedLimits returns the limits in this region that differ from those that the scheduler knows, and
-// takes them for known.
+// changedLimits returns the limits in this region that differ from those that the scheduler knows, and records that
+// the scheduler knows them.
 func (q *quotaExchange) changedLimits(teams map[string]model.Team) map[string]model.Size {
 	changed := map[string]model.Size{}
 	for name, part := range q.ledger.Limits() {
@@ -108,14 +108,14 @@
 	return changed
 }
 
-// setLimits gives the scheduler what teams may use in this region, if that has changed.
+// setLimits passes the teams' limits in this region to the scheduler, if they have changed.
 func (t *leaderTerm) setLimits(now time.Time, exchange *quotaExchange) {
 	if changed := exchange.changedLimits(t.ctrl.cfg.Teams); len(changed) > 0 {
 		t.scheduler.SetLimits(now, changed)
 	}
 }
 
-// exchangeQuotas reads and writes accounts and sends messages to other regions as they are due, on the loop.
+// exchangeQuotas reads and writes quota accounts and sends messages to other regions when they are due, on the loop.
 func (t *leaderTerm) exchangeQuotas(now time.Time) {
 	exchange := t.quotas
 	if exchange == nil || now.Before(exchange.nextExchange) {
@@ -124,8 +124,8 @@
 	exchange.nextExchange = now.Add(quotaInterval)
 	t.readQuotas(exchange)
 	if demands, known := t.quotaDemands(); known {
-		// Guard: what is taken out of an allocation must be out of the scheduler's limit before anything
-		// else starts: demand, decision and limit are of the same moment.
+		// Guard: an amount that is taken out of an allocation must be taken out of the scheduler's limit before
+		// any other task starts. So demand, decision and limit must be of the same moment.
 		writes := exchange.ledger.Tick(now, demands)
 		t.setLimits(now, exchange)
 		for _, write := range writes {
@@ -140,7 +140,7 @@
 	}
 }
 
-// quotaDemands are what teams use and wait for at this moment; known is false while that is uncertain.
+// quotaDemands returns what the teams use and wait for at this moment. known is false while that is uncertain.
 func (t *leaderTerm) quotaDemands() (demands map[string]quota.Demand, known bool) {
 	teams, known := t.scheduler.Demands()
 	demands = make(map[string]quota.Demand, len(teams))
@@ -150,7 +150,7 @@
 	return demands, known
 }
 
-// readQuotas reads the accounts that are not known for sure.
+// readQuotas reads the accounts whose stored contents are uncertain.
 func (t *leaderTerm) readQuotas(exchange *quotaExchange) {
 	names := exchange.ledger.TeamsToRead()
 	if exchange.reading || len(names) == 0 {
@@ -178,19 +178,19 @@
 	})
 }
 
-// readQuota gives the ledger a team's account as it was read.
+// readQuota passes a team's account to the ledger as it was read.
 func (t *leaderTerm) readQuota(exchange *quotaExchange, name string, item store.Item) {
 	var account quota.Account
 	if item.Revision != 0 {
 		if err := json.Unmarshal(item.Value, &account); err != nil {
-			t.ctrl.log.Error("quota account is invalid", "key", item.Key, "err", err) // nothing of it may start
+			t.ctrl.log.Error("quota account is invalid", "key", item.Key, "err", err) // no task of the team may start
 			return
 		}
 	}
 	exchange.ledger.RecordRead(name, account, item.Revision)
 }
 
-// writeQuota writes an account, on condition of its revision and of the fencing token.
+// writeQuota writes an account, with its revision and the fencing token as preconditions.
 func (t *leaderTerm) writeQuota(exchange *quotaExchange, write quota.Write) {
 	key := quotaKey(write.Team)
 	txn := t.newTxn(store.Put(key, write.Account))
@@ -218,7 +218,7 @@
 // sendQuotaMessage sends a message to another region.
 func (t *leaderTerm) sendQuotaMessage(exchange *quotaExchange, link *regionLink, message quota.Message) {
 	if err := link.connect(t.ctrl.env); err != nil {
-		t.ctrl.log.Error("region not dialed", "addr", link.addrs[link.current], "err", err)
+		t.ctrl.log.Error("failed to dial a controller of another region", "addr", link.addrs[link.current], "err", err)
 		return
 	}
 	link.inFlight = true
@@ -231,7 +231,7 @@
 				return
 			}
 			now := t.ctrl.env.Now()
-			if err != nil { // it is gone, or not the leader
+			if err != nil { // the controller is unreachable, or not the leader
 				link.tryNext()
 				return
 			}
@@ -241,7 +241,7 @@
 	})
 }
 
-// connect dials the address in use unless there is a connection.
+// connect dials the current address unless there is a connection.
 func (l *regionLink) connect(env Environment) error {
 	if l.peer != nil {
 		return nil
@@ -253,13 +253,14 @@
 	return err
 }
 
-// tryNext closes the connection; the next message goes to the region's next controller.
+// tryNext closes the connection, so that the next message goes to the region's next controller.
 func (l *regionLink) tryNext() {
 	_ = l.peer.Close()
 	l.peer, l.current = nil, (l.current+1)%len(l.addrs)
 }
 
-// HandleRegionMessage answers another region's leader, on the loop; false: this controller is not the leader.
+// HandleRegionMessage answers a message of another region's leader, on the loop. It returns false if this controller is
+// not the leader or shares no limits.
 func (c *Controller) HandleRegionMessage(now time.Time, message quota.Message) (quota.Message, bool) {
 	if c.term == nil || c.term.quotas == nil || !c.elector.HoldsLease(now) {
 		return quota.Message{}, false
@@ -270,7 +271,8 @@
 	return exchange.ledger.Reply(message), true
 }
 
-// serveRegion answers another region; it runs on gRPC's goroutines.
+// serveRegion answers a message of another region; nil if HandleRegionMessage returns false or the controller stops.
+// It runs on gRPC's goroutines.
 func (c *Controller) serveRegion(message *quotapb.Message) *quotapb.Message {
 	answers := make(chan *quotapb.Message, 1)
 	c.post(func() {
--- a/internal/controller/reload.go
+++ b/internal/controller/reload.go
@@ -22,29 +22,29 @@
 type pendingReload struct {
 	number        uint64
 	changes       []*operatorspb.Change
-	adoptDeadline time.Time // zero: it is not recorded yet
+	adoptDeadline time.Time // zero: the settings are not recorded yet
 	reply         operatorReply
 }
 
-// adoptWait is how long an answer waits until every controller has adopted settings.
-const adoptWait = 6 * time.Second
+// adoptionTimeout limits how long the reply to a reload waits until every controller has adopted the settings.
+const adoptionTimeout = 6 * time.Second
 
-// settingsCheckTimeout bounds how long a controller may take to tell whether it could adopt settings.
+// settingsCheckTimeout limits how long a controller may take to answer whether it could adopt settings.
 const settingsCheckTimeout = 3 * time.Second
 
 // settingsChecker is a peer connection over which a controller can be asked whether it could adopt settings.
 type settingsChecker interface {
-	// Check returns what keeps the controller from adopting the text; "" for nothing.
+	// Check returns why the controller cannot adopt the settings in text; "" if it can.
 	Check(ctx context.Context, text string) (problem string, err error)
 }
 
-// handleReload puts settings in force on all controllers or on none. All controllers are asked first
-// whether they could adopt them; then one transaction makes them the record in force, whose number the
-// leader announces with its messages.
+// handleReload puts settings in force on all controllers or on none. It first asks all controllers whether they
+// could adopt the settings. Then one transaction stores them as the record in force, whose number the leader
+// announces with its messages.
 //
-// Guard: the record decides. A leader that dies before the transaction leaves the old settings, one that
-// dies after it the new ones, for the next leader reads the record before its scheduler starts. The
-// settings that the safety of leadership depends on are never reloaded.
+// Guard: the stored record decides which settings are in force. If the leader dies before the transaction, the old
+// settings stay in force; if it dies after it, the new ones are in force, because the next leader reads the record
+// before its scheduler starts. The settings that the safety of leadership depends on are never reloaded.
 func (t *leaderTerm) handleReload(caller *operatorspb.Caller, request *operatorspb.ReloadRequest, reply operatorReply) {
 	if t.pendingReload != nil {
 		reply(nil, status.Error(codes.Aborted, "another reload is under way: look at marlwood settings"))
@@ -62,10 +62,10 @@
 	t.checkOnAllControllers(request.Text, caller.GetName(), request.Reason)
 }
 
-// reloadPastSettings goes on with a reload that names an earlier record by its number.
+// reloadPastSettings reads the earlier record that a reload names by its number, and continues the reload with its text.
 func (t *leaderTerm) reloadPastSettings(caller *operatorspb.Caller, request *operatorspb.ReloadRequest) {
 	t.ctrl.env.Go(func() {
-		item, err := t.ctrl.store.Get(t.ctx, settingsPast+pastSettingsName(request.Number))
+		item, err := t.ctrl.store.Get(t.ctx, pastSettingsPrefix+pastSettingsName(request.Number))
 		var record settingsRecord
 		if err == nil {
 			err = json.Unmarshal(item.Value, &record)
@@ -84,10 +84,11 @@
 	})
 }
 
-// pastSettingsName names the record of earlier settings so that keys are in the order of the numbers.
+// pastSettingsName returns the last part of the key of an earlier record. It is padded so that the order of the keys is
+// the order of the numbers.
 func pastSettingsName(number uint64) string { return fmt.Sprintf("%010d", number) }
 
-// finishReload answers the reload that is under way: with an error, or with who has adopted the settings.
+// finishReload answers the pending reload: with an error, or with the controllers that have adopted the settings.
 func (t *leaderTerm) finishReload(err error) {
 	reload := t.pendingReload
 	t.pendingReload = nil
@@ -105,7 +106,7 @@
 	reload.reply(&operatorspb.Reply{What: &operatorspb.Reply_Reload{Reload: response}}, nil)
 }
 
-// checkOnAllControllers asks every controller whether it could adopt a text, and records it if all can.
+// checkOnAllControllers asks every controller whether it could adopt the settings in text, and records them if all can.
 func (t *leaderTerm) checkOnAllControllers(text, who, reason string) {
 	changes, err := t.checkOnLeader(text)
 	if err != nil {
@@ -130,7 +131,7 @@
 	})
 }
 
-// checkOnLeader lists what a text would change, or tells why this controller cannot adopt it.
+// checkOnLeader returns what the settings in text would change, or an error if this controller cannot adopt them.
 func (t *leaderTerm) checkOnLeader(text string) ([]*operatorspb.Change, error) {
 	changes, err := t.ctrl.changesTo(text)
 	if err != nil {
@@ -142,8 +143,8 @@
 	return changes, nil
 }
 
-// settingsCheckers returns the connections to the other controllers by their place among the peers, and for
-// each peer the problem that it cannot be asked, if so.
+// settingsCheckers returns the connections to the other controllers by their index among the peers. problems has an
+// entry for each peer, which is set if the peer cannot be asked.
 func (t *leaderTerm) settingsCheckers() (checkers map[int]settingsChecker, problems []string) {
 	checkers, problems = map[int]settingsChecker{}, make([]string, len(t.ctrl.peers))
 	for i, peer := range t.ctrl.peers {
@@ -159,8 +160,8 @@
 	return checkers, problems
 }
 
-// checkOnPeers asks the other controllers at the same time, and adds what keeps them from adopting a text
-// to the problems. It runs outside the loop.
+// checkOnPeers asks the other controllers in parallel whether they could adopt the settings in text, and sets an entry
+// of problems for each one that cannot. It runs outside the loop.
 func (t *leaderTerm) checkOnPeers(text string, checkers map[int]settingsChecker, problems []string) {
 	var pending sync.WaitGroup
 	for i, checker := range checkers {
@@ -176,7 +177,7 @@
 	pending.Wait()
 }
 
-// checkOnPeer asks one controller, and returns what keeps it from adopting a text; "" for nothing.
+// checkOnPeer asks one controller, and returns why it cannot adopt the settings in text; "" if it can.
 func (t *leaderTerm) checkOnPeer(checker settingsChecker, text string) string {
 	ctx, cancel := context.WithTimeout(t.ctx, settingsCheckTimeout)
 	defer cancel()
@@ -192,7 +193,7 @@
 	return ""
 }
 
-// recordSettings makes a text the record in force, on the loop.
+// recordSettings stores the settings in text as the record in force. It runs on the loop.
 func (t *leaderTerm) recordSettings(text, who, reason string) {
 	record := settingsRecord{
 		Number: t.ctrl.adoption.number + 1,
@@ -212,7 +213,7 @@
 	})
 }
 
-// checkSettingsSize reports whether a record is too large to be stored.
+// checkSettingsSize returns an error if a record is too large to be stored.
 func (t *leaderTerm) checkSettingsSize(record settingsRecord) error {
 	value, err := json.Marshal(record)
 	if err != nil {
@@ -224,7 +225,7 @@
 	return nil
 }
 
-// commitSettings stores a record if the one in force has a lower number. It runs outside the loop.
+// commitSettings stores a record if the record in force has a lower number. It runs outside the loop.
 func (t *leaderTerm) commitSettings(record settingsRecord) (store.TxnResult, error) {
 	stored, err := t.ctrl.store.Get(t.ctx, settingsKey)
 	if errors.Is(err, store.ErrNotFound) {
@@ -242,16 +243,16 @@
 	if inForce.Number >= record.Number { // an earlier change was executed late
 		return store.TxnResult{Failed: []string{settingsKey}}, nil
 	}
-	txn := t.newTxn(store.Put(settingsKey, record), store.Put(settingsPast+pastSettingsName(record.Number), record))
+	txn := t.newTxn(store.Put(settingsKey, record), store.Put(pastSettingsPrefix+pastSettingsName(record.Number), record))
 	if record.Number > maxPastSettings {
-		txn.Writes = append(txn.Writes, store.Delete(settingsPast+pastSettingsName(record.Number-maxPastSettings)))
+		txn.Writes = append(txn.Writes, store.Delete(pastSettingsPrefix+pastSettingsName(record.Number-maxPastSettings)))
 	}
 	txn.Preconditions = append(txn.Preconditions, store.Precondition{Key: settingsKey, Revision: stored.Revision})
 	return t.commit(txn)
 }
 
-// settingsWritten takes the result of storing settings, on the loop. Settings whose write has no known
-// outcome are adopted when they are read again.
+// settingsWritten handles the result of storing settings, on the loop. If the outcome of the write is unknown, the
+// settings are adopted when the records are read again.
 func (t *leaderTerm) settingsWritten(number uint64, write recordWrite) {
 	if write.outcome == writeConflict || write.outcome == writeUnknown {
 		t.operatorRelist.extend(t.ctrl.env.Now())
@@ -268,13 +269,13 @@
 		t.finishReload(status.Errorf(codes.Unavailable, "nothing was changed: %v", write.err))
 	case writeCommitted, writeConfirmed:
 		t.ctrl.adoptSettings(write.record)
-		t.pendingReload.number, t.pendingReload.adoptDeadline = number, t.ctrl.env.Now().Add(adoptWait)
+		t.pendingReload.number, t.pendingReload.adoptDeadline = number, t.ctrl.env.Now().Add(adoptionTimeout)
 		t.startRoundSoon()
 	}
 }
 
-// answerPendingReload answers a reload once every controller has adopted it, or some time has
-// passed.
+// answerPendingReload answers the pending reload once every controller has adopted the settings or the wait has timed
+// out.
 func (t *leaderTerm) answerPendingReload(now time.Time) {
 	reload := t.pendingReload
 	if reload == nil || reload.adoptDeadline.IsZero() {
--- a/internal/controller/scheduler_config.go
+++ b/internal/controller/scheduler_config.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	// wideRecordRest is what of a large value is left to a job's record besides its completion
-	// bitmap; minWideBitmap is the least that the bitmap has.
-	wideRecordRest = 2048
-	minWideBitmap  = 256
-	// splitRecordRest is the same for a bitmap whose shards are records of their own.
-	splitRecordRest = 128
-	// bytesPerClaimedMember is how much of a value a claimed member of a gang may take: its machine's
-	// name takes some ten bytes of the job's record, of which a claim may have half.
+	// wideRecordOverheadBytes is the part of a large value that is reserved for the rest of a job's record, beside
+	// the completion bitmap. The bitmap has at least minWideBitmapBytes.
+	wideRecordOverheadBytes = 2048
+	minWideBitmapBytes      = 256
+	// splitRecordOverheadBytes is the same reserve for a bitmap whose shards are separate records.
+	splitRecordOverheadBytes = 128
+	// bytesPerClaimedMember is the part of a value that is calculated for each claimed member of a gang: its machine's
+	// name takes about ten bytes of the job's record, and a claim may take half of the record.
 	bytesPerClaimedMember = 24
 )
 
-// coreConfig takes from the settings what the scheduler's decisions depend on.
+// coreConfig returns the scheduler's configuration: the settings that its decisions depend on.
 func coreConfig(platform *settings.Platform, operator *settings.Operator) scheduler.Config {
 	return scheduler.Config{
 		Placement: placementOptions(platform, operator),
@@ -61,13 +61,13 @@
 		Unhurried:     operator.Placement.Unhurried,
 		Standing:      operator.Placement.Standing,
 		Spare:         operator.Placement.Spare,
-		PartTasks:     model.PartTasks(max(minWideBitmap, platform.WideValueBytes-wideRecordRest)),
-		SplitTasks:    model.PartTasks(platform.ValueBytes/2 - splitRecordRest),
+		PartTasks:     model.PartTasks(max(minWideBitmapBytes, platform.WideValueBytes-wideRecordOverheadBytes)),
+		SplitTasks:    model.PartTasks(platform.ValueBytes/2 - splitRecordOverheadBytes),
 	}
 }
 
-// maxClaimedMembers is the most members of a gang for which machines are claimed in the job's record;
-// 0: none are.
+// maxClaimedMembers returns the size in members of the largest gang for which machines are claimed in the job's record;
+// 0: no machines are claimed.
 func maxClaimedMembers(platform *settings.Platform, operator *settings.Operator) int {
 	if operator.Placement.Claims == "no" {
 		return 0
@@ -75,12 +75,11 @@
 	return platform.ValueBytes / bytesPerClaimedMember
 }
 
-// newLeaderUnheard is how long a machine that exists may stay unheard of by a new leader: its worker
-// sends a heartbeat within a quarter more than the usual interval, and may first try a controller that
-// is lost.
+// newLeaderUnheard returns how long a new leader may wait for the first heartbeat of an existing machine. The machine's
+// worker sends a heartbeat within 5/4 of the usual interval, and may first try a controller that is lost.
 func newLeaderUnheard(platform *settings.Platform) time.Duration {
 	return platform.ReportEvery*5/4 + time.Second
 }
 
-// withClockDrift lengthens a duration by what clocks of two machines may drift apart within it.
+// withClockDrift returns a duration plus the drift that is allowed between the clocks of two machines within it.
 func withClockDrift(d time.Duration) time.Duration { return d + d/500 + 50*time.Millisecond }
--- a/internal/controller/settings_adoption.go
+++ b/internal/controller/settings_adoption.go
@@ -9,20 +9,21 @@
 	"github.com/marlwood/marlwood/internal/store"
 )
 
-// Keys of the settings that operators put in force: the record in force, and those before it by number.
+// Keys of the settings that operators put in force: of the record in force, and the prefix of the keys of all recorded
+// settings by number.
 const (
-	settingsKey  = placement.OpsPrefix + "settings"
-	settingsPast = "past-settings/"
+	settingsKey        = placement.OpsPrefix + "settings"
+	pastSettingsPrefix = "past-settings/"
 )
 
-// maxPastSettings is how many records before the one in force are kept.
+// maxPastSettings is how many records are kept under pastSettingsPrefix, the one in force included.
 const maxPastSettings = 20
 
-// settingsReadPause is how long a controller that could not read the record waits before it may try again.
-const settingsReadPause = time.Second
+// settingsReadRetryWait is how long a controller that failed to read the record waits before it may read again.
+const settingsReadRetryWait = time.Second
 
-// settingsRecord is what operators put in force: a text whose settings override those of each controller's
-// own file.
+// settingsRecord is the stored form of the settings that operators put in force. The settings in Text override those
+// of each controller's own file.
 type settingsRecord struct {
 	Number uint64    `json:"number"`
 	Text   string    `json:"text"`
@@ -31,23 +32,22 @@
 	Reason string    `json:"reason"`
 }
 
-// settingsAdoption tells which of the settings that operators put in force a controller has adopted. Only
-// the loop uses it.
+// settingsAdoption is the state of a controller's adoption of the recorded settings. It is only used on the loop.
 type settingsAdoption struct {
-	number  uint64 // of the settings in force; 0: only the file's are
-	refused uint64 // of those that this controller could not adopt
+	number  uint64 // of the adopted record; 0: only the settings of the file are in force
+	refused uint64 // of the last record that this controller could not adopt
 	reading bool   // the record is being read
 }
 
-// outdated reports whether the leader's settings, which have this number, are to be read.
+// outdated reports whether the recorded settings must be read because the leader's settings have a newer number.
 //
-// Guard: settings that cannot be adopted are not read again with each of the leader's messages.
+// Guard: settings that this controller could not adopt are not read again with each of the leader's messages.
 func (a *settingsAdoption) outdated(leaderNumber uint64) bool {
 	return leaderNumber > max(a.number, a.refused)
 }
 
-// effectiveSettings are the settings of this controller's file, overridden by a text. An error tells why
-// a running controller cannot adopt them.
+// effectiveSettings returns the settings of this controller's file, overridden by those in text. It returns an error
+// if a running controller cannot adopt them.
 func (c *Controller) effectiveSettings(text string) (*settings.Operator, error) {
 	next, err := c.overlaidSettings(text)
 	if err != nil || text == "" {
@@ -56,8 +56,8 @@
 	return c.fileSettings.Reload(next)
 }
 
-// overlaidSettings are the settings of this controller's file, overridden by a text. They are valid, but a
-// running controller may be unable to adopt them.
+// overlaidSettings returns the settings of this controller's file, overridden by those in text. They are valid, but
+// a running controller may be unable to adopt them.
 func (c *Controller) overlaidSettings(text string) (*settings.Operator, error) {
 	if text == "" {
 		return c.fileSettings, nil
@@ -72,8 +72,8 @@
 	return next, nil
 }
 
-// CheckSettings returns what keeps this controller from adopting settings; "" for nothing. It changes
-// nothing, and may be called from anywhere.
+// CheckSettings returns why this controller cannot adopt the settings in text; "" if it can. It changes nothing, and
+// may be called from any goroutine.
 func (c *Controller) CheckSettings(text string) string {
 	if _, err := c.effectiveSettings(text); err != nil {
 		return err.Error()
@@ -81,10 +81,10 @@
 	return ""
 }
 
-// adoptSettings puts recorded settings in force, all or nothing. It runs on the loop.
+// adoptSettings puts recorded settings in force, either all of them or none. It runs on the loop.
 //
-// Guard: every change of what a leader's decisions depend on is an event of its scheduler, between two
-// others: no decision is made by half of the new settings, and a recording holds the change.
+// Guard: every change of the settings that a leader's decisions depend on is an event of its own in the scheduler,
+// between two other events. So no decision uses only a part of the new settings, and a recording contains the change.
 func (c *Controller) adoptSettings(item store.Item) {
 	var record settingsRecord
 	err := json.Unmarshal(item.Value, &record)
@@ -94,7 +94,7 @@
 	}
 	if err != nil {
 		c.adoption.refused = record.Number
-		c.log.Error("recorded settings cannot be adopted; those before hold", "number", record.Number, "err", err)
+		c.log.Error("recorded settings cannot be adopted; keeping the previous settings", "number", record.Number, "err", err)
 		return
 	}
 	if record.Number <= c.adoption.number {
@@ -104,13 +104,13 @@
 	c.log.Info("settings adopted", "number", record.Number, "who", record.Who, "at", record.At, "reason", record.Reason)
 	if c.term != nil {
 		if err := c.term.scheduler.SetConfig(c.env.Now(), coreConfig(c.cfg, c.settings)); err != nil {
-			c.log.Error("settings", "err", err)
+			c.log.Error("failed to pass the adopted settings to the scheduler", "err", err)
 		}
 	}
 }
 
-// adoptSettingsLater reads the recorded settings and adopts them, after a message of the leader has
-// announced newer ones.
+// adoptSettingsLater starts to read the recorded settings, and adopts them when they are read. It is called after a
+// message of the leader has announced newer settings.
 func (c *Controller) adoptSettingsLater() {
 	if c.adoption.reading {
 		return
@@ -119,7 +119,7 @@
 	c.env.Go(func() {
 		item, err := c.store.Get(c.ctx, settingsKey)
 		if err != nil {
-			c.env.Sleep(c.ctx, settingsReadPause)
+			c.env.Sleep(c.ctx, settingsReadRetryWait)
 		}
 		c.post(func() {
 			c.adoption.reading = false
--- a/internal/controller/settings_queries.go
+++ b/internal/controller/settings_queries.go
@@ -10,7 +10,7 @@
 	"github.com/marlwood/marlwood/internal/operators/operatorspb"
 )
 
-// handleSettings answers which settings are in force, and which were before if that is asked for.
+// handleSettings replies with the settings in force and, if requested, with the past records of settings.
 func (t *leaderTerm) handleSettings(request *operatorspb.SettingsRequest, reply operatorReply) {
 	response := &operatorspb.SettingsResponse{Number: t.ctrl.adoption.number}
 	for _, field := range t.ctrl.settings.Fields() {
@@ -39,14 +39,14 @@
 	})
 }
 
-// pastSettings reads the records of settings, the latest first. It runs outside the loop.
+// pastSettings reads the kept records of settings, and returns them with the latest first. It runs outside the loop.
 func (t *leaderTerm) pastSettings() ([]*operatorspb.SettingsRecord, error) {
-	items, _, err := t.ctrl.store.List(t.ctx, settingsPast)
+	items, _, err := t.ctrl.store.List(t.ctx, pastSettingsPrefix)
 	var past []*operatorspb.SettingsRecord
 	for _, item := range items {
 		var record settingsRecord
 		if json.Unmarshal(item.Value, &record) != nil {
-			continue // of another version
+			continue // written by another version
 		}
 		past = append(past, &operatorspb.SettingsRecord{
 			Number:   record.Number,
@@ -60,7 +60,7 @@
 	return past, err
 }
 
-// changesTo lists what a text would change of the settings in force.
+// changesTo returns the changes that the settings in text would make to the settings in force.
 func (c *Controller) changesTo(text string) ([]*operatorspb.Change, error) {
 	next, err := c.overlaidSettings(text)
 	if err != nil {
@@ -79,7 +79,7 @@
 	return changes, nil
 }
 
-// handleCompare answers what a text would change of the settings in force.
+// handleCompare replies with the changes that a text would make to the settings in force.
 func (t *leaderTerm) handleCompare(request *operatorspb.CompareRequest, reply operatorReply) {
 	changes, err := t.ctrl.changesTo(request.Text)
 	if err != nil {
