--- a/internal/controller/operators_test.go
+++ b/internal/controller/operators_test.go
@@ -15,7 +15,8 @@
 	"github.com/marlwood/marlwood/internal/store"
 )
 
-// operate asks a controller that is up, and again while none answers for good.
+// operate sends an operator's request to the controllers that are up, in turn, until one gives a final answer: it
+// retries errors that may be temporary.
 func (s *site) operate(down map[int]bool, r *operatorspb.Request) (*operatorspb.Reply, error) {
 	deadline := time.Now().Add(30 * time.Second)
 	for i := 0; ; i++ {
@@ -52,10 +53,10 @@
 
 func code(err error) codes.Code { return status.Code(err) }
 
-// A drain over real sockets: recorded before it is answered, kept by the next leader,
-// refused for what does not exist or cannot be spared, ended by an undrain. No task comes
-// to a drained machine, and a gang that has a member there completes whole.
-func TestOperators(t *testing.T) {
+// Checks drains and operators' queries on controllers over real sockets. A drain is recorded before it is answered, is
+// kept by the next leader, is refused if its target does not exist or its capacity is needed, and is ended by an
+// undrain. No task starts on a drained machine, and a gang that has a member there completes whole.
+func TestDrainsAndQueriesAcrossTakeover(t *testing.T) {
 	s := newSite(t)
 	for id, body := range map[string]string{"stays": job("stays", "standing", 3), "gang": job("gang", "gang", 3)} {
 		if status, v := s.ask("POST", "/api/jobs", body); status != 201 {
@@ -66,7 +67,8 @@
 	s.checkRefusedDrains()
 	busy := s.machineOf("stays")
 	s.checkDrainRecorded(busy)
-	// The leader is lost at once; the next one goes on with the drain, in an outage too.
+	// The leader is stopped right after the drain; the next leader continues the drain, also during an outage of the
+	// state service.
 	s.down = s.stopLeader()
 	s.awaitDrained(busy)
 	s.checkDrainInOutage()
@@ -80,7 +82,7 @@
 	s.until("more", done)
 	s.until("gang", done)
 	if !slices.Contains(s.cloud.Machines(), busy) {
-		t.Error("a machine that was to be kept is returned")
+		t.Error("a drained machine that was to be kept was returned")
 	}
 	s.checkUndrain(busy)
 	s.checkExplain()
@@ -90,7 +92,7 @@
 	}
 }
 
-// checkRefusedDrains asks for drains that are refused.
+// checkRefusedDrains checks that invalid drains, and a drain of all capacity, are refused.
 func (s *site) checkRefusedDrains() {
 	s.Helper()
 	for _, c := range []struct {
@@ -114,7 +116,7 @@
 	}
 }
 
-// machineOf names a machine that runs a task of a job.
+// machineOf returns the name of a machine that runs a task of a job.
 func (s *site) machineOf(job string) string {
 	s.Helper()
 	var busy string
@@ -124,12 +126,13 @@
 		}
 	}
 	if busy == "" {
-		s.Fatal("no machine has a replica")
+		s.Fatal("no machine runs a task of the job")
 	}
 	return busy
 }
 
-// checkDrainRecorded drains a machine, once more in the same way, and in another way.
+// checkDrainRecorded checks that a drain is recorded when it is answered, that the same request is accepted again, and
+// that a different request for the same machine is refused.
 func (s *site) checkDrainRecorded(machine string) {
 	s.Helper()
 	request := &operatorspb.DrainRequest{Node: machine, DeadlineS: 1, Keep: true, Reason: "fan"}
@@ -138,20 +141,20 @@
 		s.Fatalf("%v, %v", out, err)
 	}
 	if !s.state.Has(placement.DrainPrefix + "node/" + machine) {
-		s.Error("answered before it was recorded")
+		s.Error("the drain was answered before it was recorded")
 	}
-	// Once more is the same; otherwise is refused.
+	// The same request is accepted again; a different one is refused.
 	repeated := &operatorspb.DrainRequest{Node: machine, DeadlineS: 1, Keep: true, Reason: "fan"}
 	if _, err := s.operate(nil, drainOf(repeated)); err != nil {
-		s.Errorf("repeated: %v", err)
+		s.Errorf("repeated drain: %v", err)
 	}
 	another := &operatorspb.DrainRequest{Node: machine, Reason: "other"}
 	if _, err := s.operate(nil, drainOf(another)); code(err) != codes.AlreadyExists {
-		s.Errorf("another: %v", err)
+		s.Errorf("different drain of the same machine: %v", err)
 	}
 }
 
-// awaitDrained waits until no task runs on a drained machine, to which none may come.
+// awaitDrained waits until no task runs on a drained machine, and checks that no new task starts there.
 func (s *site) awaitDrained(machine string) {
 	s.Helper()
 	before := map[string]bool{}
@@ -162,28 +165,28 @@
 	for len(s.cloud.On(machine)) > 0 && time.Now().Before(deadline) {
 		for _, task := range s.cloud.On(machine) {
 			if !before[task] {
-				s.Fatalf("%s came to a drained machine", task)
+				s.Fatalf("%s started on a drained machine", task)
 			}
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 	if on := s.cloud.On(machine); len(on) > 0 {
-		s.Fatalf("%v are still on the drained machine", on)
+		s.Fatalf("%v still run on the drained machine", on)
 	}
 }
 
-// checkDrainInOutage asks for a drain that cannot be recorded.
+// checkDrainInOutage checks that a drain is refused while the state service refuses requests.
 func (s *site) checkDrainInOutage() {
 	s.Helper()
 	s.state.Refuse(true)
 	defer s.state.Refuse(false)
 	request := drainOf(&operatorspb.DrainRequest{Zone: "a", Force: true})
-	if _, err := s.nodes[other(s.down)].HandleOperatorRequest(s.Context(), request); code(err) != codes.Unavailable {
-		s.Errorf("in an outage: %v", err)
+	if _, err := s.nodes[runningController(s.down)].HandleOperatorRequest(s.Context(), request); code(err) != codes.Unavailable {
+		s.Errorf("drain during an outage: %v", err)
 	}
 }
 
-// checkUndrain ends the only drain, and once more.
+// checkUndrain checks that an undrain ends the only drain, and that a second undrain is refused.
 func (s *site) checkUndrain(machine string) {
 	s.Helper()
 	undrain := func() error {
@@ -194,14 +197,14 @@
 		s.Errorf("undrain: %v", err)
 	}
 	if s.state.Has(placement.DrainPrefix+"node/"+machine) || len(s.drains()) != 0 {
-		s.Error("the drain is still there")
+		s.Error("the drain still exists after its undrain")
 	}
 	if err := undrain(); code(err) != codes.NotFound {
-		s.Errorf("undrain once more: %v", err)
+		s.Errorf("second undrain: %v", err)
 	}
 }
 
-// stopLeader ends the leader's process and returns which controllers are down.
+// stopLeader stops the leader's process, and returns which controllers are down.
 func (s *site) stopLeader() map[int]bool {
 	s.Helper()
 	leader, _ := s.nodes[0].leader()
@@ -215,8 +218,8 @@
 	return down
 }
 
-// other names a controller that is up.
-func other(down map[int]bool) int {
+// runningController returns the index of a controller that is up.
+func runningController(down map[int]bool) int {
 	for i := range 3 {
 		if !down[i] {
 			return i
@@ -225,7 +228,7 @@
 	return 0
 }
 
-// checkExplain asks why jobs do not run: of a job that does, of none, and of one that is over.
+// checkExplain checks the explanations for a running job, an unknown job, an invalid id and a finished job.
 func (s *site) checkExplain() {
 	s.Helper()
 	explain := func(id string) (*operatorspb.ExplainResponse, error) {
@@ -233,20 +236,20 @@
 		return out.GetExplain(), err
 	}
 	if out, err := explain("stays"); err != nil || out.Job.Placed != 3 || out.Reasons[0].Code != placement.CodeRunning {
-		s.Errorf("%v, %v", out, err)
+		s.Errorf("running job: %v, %v", out, err)
 	}
 	if _, err := explain("none"); code(err) != codes.NotFound {
 		s.Errorf("unknown job: %v", err)
 	}
 	if _, err := explain("a/b"); code(err) != codes.InvalidArgument {
-		s.Errorf("not an id: %v", err)
+		s.Errorf("invalid id: %v", err)
 	}
 	if _, err := explain("more"); code(err) != codes.FailedPrecondition || !strings.Contains(err.Error(), "done") {
-		s.Errorf("a job that is over: %v", err)
+		s.Errorf("finished job: %v", err)
 	}
 }
 
-// checkQueries asks every other query once, while the replicas of one job are all that runs.
+// checkQueries checks the answers of the other queries, while only the replicas of one job run.
 func (s *site) checkQueries() {
 	s.Helper()
 	for _, c := range []struct {
@@ -283,15 +286,15 @@
 	}
 }
 
-// A drain's answer checks its record once more: another operator may have ended it, or
-// drained again, while the answer waited (found by the explorer, seed 50063006).
-func TestDrainEndedMeanwhile(t *testing.T) {
+// Checks that the reply to a drain is an error if its record has changed. Another operator may have ended the drain, or
+// ended it and drained again, while the reply waited (found by the explorer, seed 50063006).
+func TestDrainReplyChecksRecord(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		records map[string]store.Item
 		want    codes.Code
 	}{
-		{"as it was recorded", map[string]store.Item{"ops/drain/zone/a": {Key: "ops/drain/zone/a", Revision: 7}}, codes.OK},
+		{"record unchanged", map[string]store.Item{"ops/drain/zone/a": {Key: "ops/drain/zone/a", Revision: 7}}, codes.OK},
 		{"ended", map[string]store.Item{}, codes.Aborted},
 		{"ended and drained again", map[string]store.Item{"ops/drain/zone/a": {Key: "ops/drain/zone/a", Revision: 8}}, codes.Aborted},
 	} {
--- a/internal/controller/recording_test.go
+++ b/internal/controller/recording_test.go
@@ -15,37 +15,36 @@
 	"github.com/marlwood/marlwood/internal/scheduler"
 )
 
-// blockStreams are the streams of the blocks that a recorder has written, in order. Each leader's term is a
+// blockStreams receives the stream name of each block that a recorder has written, in order. Each leader's term is a
 // stream.
 type blockStreams struct {
 	testing.TB
 	blocks chan string
 }
 
-// await waits for a block of a stream that is accepted.
+// await waits for a block whose stream accept returns true for.
 func (b blockStreams) await(what string, accept func(stream string) bool) {
 	b.Helper()
-	late := time.After(time.Minute)
+	timeout := time.After(time.Minute)
 	for {
 		select {
 		case stream := <-b.blocks:
 			if accept(stream) {
 				return
 			}
-		case <-late:
+		case <-timeout:
 			b.Errorf("%s: no block arrived", what)
 			return
 		}
 	}
 }
 
-// follow records a site until check is called, which reads the recording and decides
-// everything in it again. It returns once a leader's first block is written; written
-// waits until all that was decided so far is.
+// follow records a site until check is called, which reads the recording and decides everything in it again. It
+// returns once a leader's first block is written. written waits until everything that was decided before its call
+// is written.
 //
-// Guard: on a busy machine the jobs ran before the recorder had reached their leader,
-// or within the second before its end, whose block dies with it; then too few starts
-// were compared.
+// Guard: without these waits, on a busy machine, the jobs ran before the recorder had reached their leader, or within
+// the last second of that leader, whose block is lost with it. Then too few starts were compared.
 func (s *site) follow() (written, check func()) {
 	s.Helper()
 	dir := s.TempDir()
@@ -64,17 +63,17 @@
 		})
 	}()
 	s.Cleanup(cancel)
-	first := ""
-	streams.await("the first leader", func(stream string) bool { first = stream; return true })
+	currentStream := ""
+	streams.await("the first leader", func(stream string) bool { currentStream = stream; return true })
 	written = func() {
 		for len(streams.blocks) > 0 {
-			first = <-streams.blocks
+			currentStream = <-streams.blocks
 		}
-		more := 0 // the first of them may have been closed before
-		streams.await("all so far", func(stream string) bool { first, more = stream, more+1; return more == 2 })
+		count := 0 // of blocks from now on; the first one may have been closed before the call
+		streams.await("all decisions so far", func(stream string) bool { currentStream, count = stream, count+1; return count == 2 })
 	}
 	return written, func() {
-		streams.await("the next leader", func(stream string) bool { return stream != first })
+		streams.await("the next leader", func(stream string) bool { return stream != currentStream })
 		cancel()
 		if err := <-ended; err != nil {
 			s.Error(err)
@@ -86,7 +85,8 @@
 	}
 }
 
-// checkRecording decides everything in a recording again, which must have two leaders and some starts.
+// checkRecording decides everything in a recording again, and checks that it has the streams of at least two leaders and
+// at least 10 starts.
 func (s *site) checkRecording(dir string) {
 	s.Helper()
 	replayed := &replayedStream{TB: s.TB}
@@ -96,15 +96,15 @@
 	}
 }
 
-// replayedStream decides the frames of a recording again.
+// replayedStream replays the frames of a recording and compares the decisions.
 type replayedStream struct {
 	testing.TB
-	scheduler *scheduler.Scheduler // of the present stream; nil: no state has been read yet
+	scheduler *scheduler.Scheduler // of the current stream; nil: no state has been read yet
 	stream    string
-	starts    int // orders to start a task
+	starts    int // replayed orders to start a task
 }
 
-// frame imports a state or decides an event, which must come out as recorded.
+// frame imports a state, or decides an event again and checks the decisions and the hash against the recorded ones.
 func (r *replayedStream) frame(stream string, frame *recordpb.Frame) error {
 	if state := frame.GetState(); state != nil {
 		fresh, err := scheduler.Import(state, slog.New(slog.DiscardHandler))
@@ -125,7 +125,7 @@
 	return nil
 }
 
-// A recording holds the settings in force.
+// Checks that an exported state contains the settings in force, and that a state of another version is refused.
 func TestRecordingHoldsSettings(t *testing.T) {
 	term, _, _ := leading(t)
 	state, err := term.scheduler.Export(0)
@@ -142,6 +142,6 @@
 	}
 	state.Version++
 	if _, err := scheduler.Import(state, slog.New(slog.DiscardHandler)); !errors.Is(err, scheduler.ErrVersion) {
-		t.Errorf("another form: %v", err)
+		t.Errorf("state of another version: %v", err)
 	}
 }
--- a/internal/controller/regions_test.go
+++ b/internal/controller/regions_test.go
@@ -7,13 +7,14 @@
 	"github.com/marlwood/marlwood/internal/quota"
 )
 
-// A part of a limit, as tasks are counted by: nothing of it is not the same as no limit.
+// Checks the conversion of a part of a limit to the unit of tasks' sizes. A part of zero must allow no usage: it is not
+// the same as no limit.
 func TestLimitSize(t *testing.T) {
 	for _, c := range []struct {
 		whole model.Size
 		part  quota.Amount
-		fits  model.Size // within it
-		over  model.Size
+		fits  model.Size // usage within the part
+		over  model.Size // usage above the part; negative CPUs: not checked
 	}{
 		{model.Size{CPUs: 10}, quota.Amount{CPUs: 4000}, model.Size{CPUs: 4, GPUs: 99}, model.Size{CPUs: 4.5}},
 		{model.Size{CPUs: 10}, quota.Amount{}, model.Size{GPUs: 99}, model.Size{CPUs: 0.001}},
--- a/internal/controller/reload_test.go
+++ b/internal/controller/reload_test.go
@@ -18,9 +18,9 @@
 	"github.com/marlwood/marlwood/internal/store"
 )
 
-// Recorded settings are adopted whole or not at all, newer ones only, and what cannot be
-// adopted is not asked for again.
-func TestAdopt(t *testing.T) {
+// Checks that recorded settings are adopted whole or not at all, that only newer ones are adopted, and that the number
+// of settings that cannot be adopted is remembered, so that they are not read again.
+func TestAdoptSettings(t *testing.T) {
 	record := func(number uint64, text string) store.Item {
 		v, err := json.Marshal(settingsRecord{Number: number, Text: text, At: time.Unix(1000, 0)})
 		if err != nil {
@@ -34,45 +34,46 @@
 	file := controller.fileSettings.Fleet.Idle
 	for _, c := range []struct {
 		name            string
-		it              store.Item
+		item            store.Item
 		number, refused uint64
 		idle            time.Duration
 	}{
-		{"the first", record(3, `(marlwood (fleet (idle "25s")))`), 3, 0, 25 * time.Second},
-		{"an older one", record(2, `(marlwood (fleet (idle "1s")))`), 3, 0, 25 * time.Second},
-		{"one that needs a restart", record(4, `(marlwood (fleet (idle "1s")) (leadership (hold "9s")))`), 3, 4, 25 * time.Second},
-		{"one of a later version", record(5, `(marlwood (fleet (idle "1s") (idler "1s")))`), 3, 5, 25 * time.Second},
+		{"first record", record(3, `(marlwood (fleet (idle "25s")))`), 3, 0, 25 * time.Second},
+		{"older record", record(2, `(marlwood (fleet (idle "1s")))`), 3, 0, 25 * time.Second},
+		{"settings that need a restart", record(4, `(marlwood (fleet (idle "1s")) (leadership (hold "9s")))`), 3, 4, 25 * time.Second},
+		{"settings of a later version", record(5, `(marlwood (fleet (idle "1s") (idler "1s")))`), 3, 5, 25 * time.Second},
 		{"garbled", store.Item{Key: settingsKey, Value: []byte("{")}, 3, 0, 25 * time.Second},
-		{"back to the file", record(6, ""), 6, 0, file},
+		{"settings of the file again", record(6, ""), 6, 0, file},
 	} {
 		controller.adoption.refused = 0
-		controller.adoptSettings(c.it)
+		controller.adoptSettings(c.item)
 		if controller.adoption.number != c.number || controller.adoption.refused != c.refused || controller.settings.Fleet.Idle != c.idle || term.scheduler.Config().Fleet.Idle != c.idle {
-			t.Errorf("%s: number %d, refused %d, idle %v, the core's %v", c.name, controller.adoption.number, controller.adoption.refused, controller.settings.Fleet.Idle, term.scheduler.Config().Fleet.Idle)
+			t.Errorf("%s: number %d, refused %d, idle %v, the scheduler's %v", c.name, controller.adoption.number, controller.adoption.refused, controller.settings.Fleet.Idle, term.scheduler.Config().Fleet.Idle)
 		}
 	}
 	if controller.fileSettings.Fleet.Idle != file {
-		t.Error("the file's settings changed")
+		t.Error("adoption changed the settings of the file")
 	}
 }
 
-// lateSettingsCase is a change of settings whose first transaction is not answered.
-type lateSettingsCase struct {
+// unansweredSettingsCase is a test case of TestUnansweredSettingsWrite: a change of settings whose first transaction is
+// not answered.
+type unansweredSettingsCase struct {
 	name   string
 	fate   standin.Fate
-	first  codes.Code // what the first change's operator is answered
+	first  codes.Code // of the answer to the operator who made the first change
 	newer  bool       // a second change is stored before the first one is executed
-	status []int      // of what is executed late
-	idle   string     // the setting that is in force in the end
+	status []int      // HTTP status codes of the transactions that are executed late
+	idle   string     // the setting that is in force at the end
 }
 
-// A change of settings whose answer is lost is found by reading it back; one that is executed late is void
-// once a newer one is stored, and is adopted everywhere if there is none.
-func TestLateSettings(t *testing.T) {
-	for _, c := range []lateSettingsCase{
-		{"executed at once", standin.Unanswered, codes.OK, false, nil, "9s"},
-		{"late after a newer one", standin.Late, codes.Unknown, true, []int{409}, "11s"},
-		{"late, nothing newer", standin.Late, codes.Unknown, false, []int{200}, "9s"},
+// Checks changes of settings whose write is not answered. A change that was executed at once is found by reading the
+// record back. A change that is executed late fails if a newer one has been stored, and is adopted everywhere otherwise.
+func TestUnansweredSettingsWrite(t *testing.T) {
+	for _, c := range []unansweredSettingsCase{
+		{"executed immediately", standin.Unanswered, codes.OK, false, nil, "9s"},
+		{"executed late, after a newer change", standin.Late, codes.Unknown, true, []int{409}, "11s"},
+		{"executed late, without a newer change", standin.Late, codes.Unknown, false, []int{200}, "9s"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -81,9 +82,9 @@
 	}
 }
 
-func (c lateSettingsCase) run(t *testing.T) {
+func (c unansweredSettingsCase) run(t *testing.T) {
 	s := newSite(t)
-	s.ask("POST", "/api/jobs", job("first", "batch", 1)) // there is a leader
+	s.ask("POST", "/api/jobs", job("first", "batch", 1)) // answered only if there is a leader
 	var met atomic.Int32
 	s.state.Fates(func(keys []string) standin.Fate {
 		if slices.Contains(keys, settingsKey) && met.Add(1) == 1 {
@@ -92,18 +93,18 @@
 		return standin.Answered
 	})
 	reload := func(idle string) (*operatorspb.Reply, error) {
-		return s.once(&operatorspb.Request{What: &operatorspb.Request_Reload{Reload: &operatorspb.ReloadRequest{Text: `(marlwood (fleet (idle "` + idle + `")))`}}})
+		return s.operateOnce(&operatorspb.Request{What: &operatorspb.Request_Reload{Reload: &operatorspb.ReloadRequest{Text: `(marlwood (fleet (idle "` + idle + `")))`}}})
 	}
 	if out, err := reload("9s"); code(err) != c.first || err == nil && out.GetReload().Number != 1 {
-		t.Fatalf("the first: %v, %v", out, err)
+		t.Fatalf("first change: %v, %v", out, err)
 	}
 	if c.newer {
 		if out, err := reload("11s"); err != nil || out.GetReload().Number != 1 {
-			t.Fatalf("the second: %v, %v", out, err)
+			t.Fatalf("second change: %v, %v", out, err)
 		}
 	}
 	if got := s.state.Deliver(); !slices.Equal(got, c.status) || met.Load() == 0 {
-		t.Errorf("executed late: %v", got)
+		t.Errorf("status codes of late transactions: %v", got)
 	}
 	var number uint64
 	idle := ""
@@ -111,12 +112,13 @@
 		number, idle = s.idleSetting(idle)
 	}
 	if number != 1 || idle != c.idle {
-		t.Errorf("settings %d hold, idle %q", number, idle)
+		t.Errorf("settings %d are in force, idle %q", number, idle)
 	}
 	s.until("first", done)
 }
 
-// idleSetting asks for the number of the settings in force and their idle time; last if it is not among them.
+// idleSetting queries the settings in force, and returns their number and their idle time; last if they contain no idle
+// time.
 func (s *site) idleSetting(last string) (number uint64, idle string) {
 	s.Helper()
 	out, err := s.operate(nil, &operatorspb.Request{What: &operatorspb.Request_Settings{Settings: &operatorspb.SettingsRequest{}}})
@@ -132,8 +134,9 @@
 	return out.GetSettings().Number, idle
 }
 
-// once has the leader do something an operator asks for, and does not ask again.
-func (s *site) once(r *operatorspb.Request) (*operatorspb.Reply, error) {
+// operateOnce sends an operator's request to the leader. It retries only on Unavailable errors or while there is no
+// leader.
+func (s *site) operateOnce(r *operatorspb.Request) (*operatorspb.Reply, error) {
 	for deadline := time.Now().Add(20 * time.Second); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
 		leader, _ := s.nodes[0].leader()
 		for i := range 3 {
--- a/internal/controller/slopes_test.go
+++ b/internal/controller/slopes_test.go
@@ -12,7 +12,7 @@
 	"github.com/marlwood/marlwood/internal/workers"
 )
 
-// BenchmarkBytes measures the messages that docs/CAPACITY.md is calculated from, in bytes of body.
+// BenchmarkBytes reports the body sizes, in bytes, of the messages that the calculations in docs/CAPACITY.md use.
 //
 //	go test -run '^$' -bench Bytes -benchtime 1x ./internal/controller
 func BenchmarkBytes(b *testing.B) {
@@ -69,7 +69,7 @@
 	}
 }
 
-// tasksPerMachine is the planned number: 50,000 tasks on 5,500 machines.
+// tasksPerMachine is the planned number of tasks per machine: 50,000 tasks on 5,500 machines.
 const tasksPerMachine = 9
 
 func heartbeatWithTasks(tasks int) *model.Heartbeat {
