--- a/internal/controller/accounts.go
+++ b/internal/controller/accounts.go
@@ -132,7 +132,7 @@
 			all = append(all, accounting.Item{Key: item.Key, Value: item.Value, Revision: item.Revision})
 		}
 		t.usage.watermarkRevision, t.usage.knownRevision = watermark.Revision, revision
-		if err := t.usage.accounts.Load(all); err != nil { // written by another version, or damaged: the records stay unchanged
+		if err := t.usage.accounts.Load(all); err != nil { // of another version, or damaged: not overwritten
 			t.ctrl.log.Error("stored accounts are invalid; usage is not written", "err", err)
 			t.usage.nextFlush = t.ctrl.env.Now().Add(accountsInvalidWait)
 		}
--- a/internal/controller/accounts_test.go
+++ b/internal/controller/accounts_test.go
@@ -86,15 +86,15 @@
 			}
 			revision = out.Revision
 		}
-		late := accountsTxn(store.Txn{}, []accounting.Change{one}, accounting.Watermark{AtMS: 10}, revision) // unanswered; executed below, after the newer write
+		late := accountsTxn(store.Txn{}, []accounting.Change{one}, accounting.Watermark{AtMS: 10}, revision) // executed below, after the newer write
 		if out, err := kv.Txn(accountsTxn(store.Txn{}, c.newer, accounting.Watermark{AtMS: 20}, revision)); err != nil || !out.Succeeded() {
 			t.Fatal(out, err)
 		}
 		if out, err := kv.Txn(late); err != nil || out.Succeeded() {
 			t.Errorf("%s: result of the late write: %v, %v", c.name, out, err)
 		}
-		if it, err := kv.Get(accounting.WatermarkKey); err != nil || string(it.Value) != `{"at_ms":20,"attempt":0}` {
-			t.Errorf("%s: the watermark is %s, %v", c.name, it.Value, err)
+		if item, err := kv.Get(accounting.WatermarkKey); err != nil || string(item.Value) != `{"at_ms":20,"attempt":0}` {
+			t.Errorf("%s: the watermark is %s, %v", c.name, item.Value, err)
 		}
 	}
 }
--- a/internal/controller/operators_test.go
+++ b/internal/controller/operators_test.go
@@ -67,8 +67,8 @@
 	s.checkRefusedDrains()
 	busy := s.machineOf("stays")
 	s.checkDrainRecorded(busy)
-	// The leader is stopped right after the drain; the next leader continues the drain, also during an outage of the
-	// state service.
+	// The leader is stopped right after the drain, and the next leader continues the drain. During an outage of the
+	// state service, a new drain is refused.
 	s.down = s.stopLeader()
 	s.awaitDrained(busy)
 	s.checkDrainInOutage()
--- a/internal/controller/recording_test.go
+++ b/internal/controller/recording_test.go
@@ -22,7 +22,7 @@
 	blocks chan string
 }
 
-// await waits for a block whose stream accept returns true for.
+// await waits for a block for whose stream accept returns true, and reports an error if none arrives within a minute.
 func (b blockStreams) await(what string, accept func(stream string) bool) {
 	b.Helper()
 	timeout := time.After(time.Minute)
--- a/internal/controller/reload_test.go
+++ b/internal/controller/reload_test.go
@@ -19,7 +19,7 @@
 )
 
 // Checks that recorded settings are adopted whole or not at all, that only newer ones are adopted, and that the number
-// of settings that cannot be adopted is remembered, so that they are not read again.
+// of a record that cannot be adopted is remembered, so that the record is not read again.
 func TestAdoptSettings(t *testing.T) {
 	record := func(number uint64, text string) store.Item {
 		v, err := json.Marshal(settingsRecord{Number: number, Text: text, At: time.Unix(1000, 0)})
@@ -85,9 +85,9 @@
 func (c unansweredSettingsCase) run(t *testing.T) {
 	s := newSite(t)
 	s.ask("POST", "/api/jobs", job("first", "batch", 1)) // answered only if there is a leader
-	var met atomic.Int32
+	var matched atomic.Int32
 	s.state.Fates(func(keys []string) standin.Fate {
-		if slices.Contains(keys, settingsKey) && met.Add(1) == 1 {
+		if slices.Contains(keys, settingsKey) && matched.Add(1) == 1 {
 			return c.fate
 		}
 		return standin.Answered
@@ -103,7 +103,7 @@
 			t.Fatalf("second change: %v, %v", out, err)
 		}
 	}
-	if got := s.state.Deliver(); !slices.Equal(got, c.status) || met.Load() == 0 {
+	if got := s.state.Deliver(); !slices.Equal(got, c.status) || matched.Load() == 0 {
 		t.Errorf("status codes of late transactions: %v", got)
 	}
 	var number uint64
--- a/internal/controller/scheduler_config.go
+++ b/internal/controller/scheduler_config.go
@@ -17,7 +17,7 @@
 	minWideBitmapBytes      = 256
 	// splitRecordOverheadBytes is the same reserve for a bitmap whose shards are separate records.
 	splitRecordOverheadBytes = 128
-	// bytesPerClaimedMember is the part of a value that is calculated for each claimed member of a gang: its machine's
+	// bytesPerClaimedMember is the part of a value that is budgeted for each claimed member of a gang: its machine's
 	// name takes about ten bytes of the job's record, and a claim may take half of the record.
 	bytesPerClaimedMember = 24
 )
@@ -75,11 +75,11 @@
 	return platform.ValueBytes / bytesPerClaimedMember
 }
 
-// newLeaderUnheard returns how long a new leader may wait for the first heartbeat of an existing machine. The machine's
-// worker sends a heartbeat within 5/4 of the usual interval, and may first try a controller that is lost.
+// newLeaderUnheard returns how long it may take until the first heartbeat of an existing machine reaches a new leader:
+// the machine's worker sends a heartbeat within 5/4 of the usual interval, and may first try a controller that is lost.
 func newLeaderUnheard(platform *settings.Platform) time.Duration {
 	return platform.ReportEvery*5/4 + time.Second
 }
 
-// withClockDrift returns a duration plus the drift that is allowed between the clocks of two machines within it.
+// withClockDrift returns a duration plus the maximum drift between the clocks of two machines within it.
 func withClockDrift(d time.Duration) time.Duration { return d + d/500 + 50*time.Millisecond }
