--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,10 +1,10 @@
-// Package controller joins the other packages into one running controller. A single loop owns all
-// state; everything slow (requests to the state service, the cloud, peers and workers) runs beside the
-// loop and comes back as an event that the loop runs.
+// Package controller combines the other packages into one running controller. A single event loop owns
+// all state. Slow operations (requests to the state service, the cloud, peers and workers) run outside the
+// loop, and each posts its result as an event to the loop.
 //
 // Every controller owns the workers of some machine pools and serves users. One of them, the leader,
-// also decides: its term (leaderTerm) reads what the last leader stored, assigns the pools to
-// the controllers, and exchanges sampling rounds with them.
+// also schedules: its term (leaderTerm) reads the records that the previous leader stored, assigns the
+// pools to the controllers, and exchanges sampling rounds with them.
 package controller
 
 import (
@@ -33,25 +33,26 @@
 // tick is the interval of the loop's ticks.
 const tick = 50 * time.Millisecond
 
-// storeShares are the shares of the state service's request and write rates by which its budgets are made.
+// Shares of the state service's request and write rates from which setBudgets computes a controller's budgets.
 const (
-	callShare        = 0.5  // of requests, divided among the controllers
-	leaderCallShare  = 0.45 // of requests, for the leader besides
-	userWriteShare   = 0.9  // of writes, divided among the controllers
-	leaderWriteShare = 0.5  // of writes, for the leader
+	callShare        = 0.5  // share of requests that is divided among the controllers
+	leaderCallShare  = 0.45 // share of requests that the leader gets in addition
+	userWriteShare   = 0.9  // share of writes that is divided among the controllers
+	leaderWriteShare = 0.5  // share of writes that the leader gets
 )
 
-// Controller is one controller. Its state belongs to its loop, but for what is named as safe beside it.
+// Controller is one controller. Its state belongs to its event loop, except for the fields that are marked
+// as safe for concurrent use.
 type Controller struct {
 	cfg          *settings.Platform
-	fileSettings *settings.Operator // of this controller's file
-	settings     *settings.Operator // what is in force: the file's, and what operators changed since
+	fileSettings *settings.Operator // settings of this controller's file
+	settings     *settings.Operator // settings in force: those of the file with the operators' later changes
 	log          *slog.Logger
-	bootID       string // of this process; no other ever has the same
+	bootID       string // unique ID of this process
 	timing       settings.Timing
 	startedAt    time.Time
 	env          Environment
-	ctx          context.Context // bounds all that the controller runs beside its loop; set by Start
+	ctx          context.Context // bounds everything that the controller runs outside its loop; set by Start
 
 	store    Store
 	cloud    Cloud
@@ -59,25 +60,25 @@
 	registry *workers.Registry
 	elector  *leadership.Elector
 	peers    []*peerProgress
-	term     *leaderTerm // nil: this controller does not lead
+	term     *leaderTerm // nil if this controller does not lead
 
-	// Safe beside the loop.
+	// The following fields are safe for concurrent use.
 	machineTypes atomic.Pointer[map[string]model.MachineType]
-	leaseUntil   atomic.Int64                                   // uptime when the leader lease expires; 0: there is none
+	leaseUntil   atomic.Int64                                   // uptime at which the leader lease expires; 0 if there is no lease
 	jobCounts    atomic.Pointer[map[string]placement.JobCounts] // counts of open jobs, while leading
 	contacts     contactTimes
 	slots        requestSlots
 
 	peersProbedAt     time.Time // when peers were last probed
 	electionState     leadership.State
-	adoption          settingsAdoption    // of what operators put in force
-	metrics           *metrics.Set        // nil: off
-	recorder          scheduler.Recorder  // receives a recording of all decisions; nil: there is none
-	broadcaster       *record.Broadcaster // of the live environment: distributes recordings; nil: there is none
+	adoption          settingsAdoption    // of the settings that operators put in force
+	metrics           *metrics.Set        // nil if metrics are off
+	recorder          scheduler.Recorder  // receives a recording of all decisions; may be nil
+	broadcaster       *record.Broadcaster // distributes recordings; set only by New, else nil
 	pendingHeartbeats heartbeatQueue
 }
 
-// New makes a controller from checked settings, in the live environment.
+// New creates a controller from checked settings, in the live environment.
 func New(platform *settings.Platform, operator *settings.Operator, log *slog.Logger) (*Controller, error) {
 	id, err := bootID()
 	if err != nil {
@@ -100,12 +101,12 @@
 	return ctrl, nil
 }
 
-// SetRecorder sets what receives the recording of this controller's decisions as leader. It is called before
-// Start.
+// SetRecorder sets the recorder that receives this controller's decisions as leader. It must be called
+// before Start.
 func (c *Controller) SetRecorder(recorder scheduler.Recorder) { c.recorder = recorder }
 
-// NewWithEnvironment makes a controller in an environment of the caller's. id names its process; no other
-// process ever has the same.
+// NewWithEnvironment creates a controller in the caller's environment. id identifies its process and must
+// be unique among all processes.
 func NewWithEnvironment(env Environment, id uint64, platform *settings.Platform, operator *settings.Operator, log *slog.Logger) (*Controller, error) {
 	timing, err := platform.Timing(operator)
 	if err != nil {
@@ -170,7 +171,7 @@
 	}
 }
 
-// dialPeers makes the records of all controllers, this one first, and the connections to the others.
+// dialPeers creates the progress records of all controllers, this one first, and connects to the others.
 func (c *Controller) dialPeers() error {
 	c.peers = append(c.peers, &peerProgress{member: c.cfg.Member, zone: c.cfg.Zone, local: true})
 	for _, sibling := range c.cfg.Siblings {
@@ -183,8 +184,8 @@
 	return nil
 }
 
-// setBudgets divides what the state service takes. Users' writes have a budget of
-// their own, so that they never wait behind what the leader records.
+// setBudgets sets this controller's share of the request and write rates of the state service. Users' writes
+// have a separate budget, so that they never wait behind the leader's writes.
 func (c *Controller) setBudgets(leading bool) {
 	controllers := float64(max(1, len(c.peers)))
 	budgets := store.Budgets{
@@ -199,23 +200,23 @@
 	c.store.SetBudgets(budgets)
 }
 
-// newRand makes a source of random numbers.
+// newRand returns a new source of random numbers.
 func (c *Controller) newRand() *rand.Rand {
 	return rand.New(rand.NewPCG(c.env.Random(), c.env.Random()))
 }
 
-// Start begins the work that a controller does by itself, until ctx ends. It is called once, before
+// Start starts the controller's background work, which ends with ctx. It must be called once, before
 // Tick and all Handle methods.
 func (c *Controller) Start(ctx context.Context) {
 	c.ctx = ctx
 	c.env.Go(c.learnTypes)
 }
 
-// post has the loop run an event.
+// post queues an event for the loop.
 func (c *Controller) post(f func()) { c.env.Post(f) }
 
-// jobCountsOf is called by user requests, beside the loop, which they must not hold
-// up: it reads the counts that the leader last published.
+// jobCountsOf returns a job's counts as the leader last published them. User requests call it outside the
+// loop, so that they do not delay the loop.
 func (c *Controller) jobCountsOf(job string) (placement.JobCounts, bool) {
 	if counts := c.jobCounts.Load(); counts != nil {
 		jobCounts, ok := (*counts)[job]
@@ -224,8 +225,8 @@
 	return placement.JobCounts{}, false
 }
 
-// HandleRound handles a leader's message, on the loop, and answers it; with nil before
-// this process has read the leader key.
+// HandleRound handles a leader's message, on the loop, and passes the response to reply. The response is nil
+// until this process has read the leader key.
 func (c *Controller) HandleRound(now time.Time, request *peerspb.RoundRequest, reply func(*peerspb.RoundResponse)) {
 	if c.elector.MinToken() == 0 { // see workers.Registry.NoneBelow
 		reply(nil)
@@ -245,7 +246,7 @@
 	c.makeDirectCalls(c.env.Now())
 }
 
-// serveRound answers a leader; it runs on gRPC's goroutines.
+// serveRound handles a leader's message on one of gRPC's goroutines and returns the response.
 func (c *Controller) serveRound(request *peerspb.RoundRequest) *peerspb.RoundResponse {
 	responses := make(chan *peerspb.RoundResponse, 1)
 	c.post(func() {
@@ -259,7 +260,7 @@
 	}
 }
 
-// Tick does what is due, on the loop, in a fixed order. It is called every 50 ms or so.
+// Tick does all work that is due, on the loop, in a fixed order. It is called about every 50 ms.
 func (c *Controller) Tick(now time.Time) {
 	c.contacts.tick.set(c.uptime(now))
 	c.performActions(c.elector.Tick(now))
@@ -274,5 +275,5 @@
 	}
 }
 
-// API returns the server of users' requests, which runs beside the loop.
+// API returns the server of users' requests, which runs outside the loop.
 func (c *Controller) API() *api.Server { return c.api }
--- a/internal/controller/election.go
+++ b/internal/controller/election.go
@@ -10,16 +10,16 @@
 	"github.com/marlwood/marlwood/internal/store"
 )
 
-// holdsLease tells beside the loop whether this controller holds the leader lease now.
+// holdsLease reports whether this controller holds the leader lease now. It is safe for concurrent use.
 //
-// Guard: a process may stand still between a decision and what follows from it,
-// longer than its leader lease lasts. So the lease is checked again right
-// before a message goes out, wherever it waited until then (TestStandingStill).
+// Guard: a process may be paused between a decision and the message that follows from it, for longer
+// than its leader lease lasts. So the lease is checked again right before a message is sent, wherever
+// the message waited until then (TestPausedLeaderSendsNothing).
 func (c *Controller) holdsLease() bool {
 	return int64(c.uptime(c.env.Now())) < c.leaseUntil.Load()
 }
 
-// publishLease publishes for holdsLease when the leader lease expires.
+// publishLease publishes the expiry of the leader lease for holdsLease.
 func (c *Controller) publishLease() {
 	until := int64(0)
 	if at := c.elector.LeaseExpiry(); !at.IsZero() {
@@ -28,7 +28,7 @@
 	c.leaseUntil.Store(until)
 }
 
-// followElection begins and ends terms as leadership comes and goes.
+// followElection starts a term when this controller becomes leader and ends it when leadership is lost.
 func (c *Controller) followElection(now time.Time) {
 	c.publishLease()
 	state := c.elector.State()
@@ -47,24 +47,24 @@
 	}
 }
 
-// endTerm ends the present term.
+// endTerm ends the current term.
 func (c *Controller) endTerm() {
 	c.term.failPendingRequests()
 	c.term.quotas.close()
 	c.term.end()
 	c.term = nil
 	c.jobCounts.Store(nil)
-	c.metrics.Usage(nil) // the next leader knows more
+	c.metrics.Usage(nil) // the next leader has newer figures
 }
 
-// performActions carries out the elector's actions, each beside the loop.
+// performActions carries out the elector's actions, each outside the loop.
 func (c *Controller) performActions(actions []leadership.Action) {
 	for _, action := range actions {
 		c.env.Go(func() { c.performAction(action) })
 	}
 }
 
-// performAction carries out one action of the elector and tells it the result.
+// performAction carries out one action of the elector and reports the result to it.
 func (c *Controller) performAction(action leadership.Action) {
 	sentAt := c.env.Now()
 	ctx := store.Urgent(c.ctx)
--- a/internal/controller/environment.go
+++ b/internal/controller/environment.go
@@ -11,48 +11,47 @@
 	"github.com/marlwood/marlwood/internal/store"
 )
 
-// Environment is all that a controller reaches outside itself: clocks, random numbers, a loop, and the
-// other processes. New makes the live one, of sockets and goroutines; another can
-// drive controllers in virtual time.
+// Environment provides everything that a controller uses outside itself: clocks, random numbers, an event
+// loop, and connections to other processes. New creates the live one, which uses sockets and goroutines;
+// another implementation can run controllers in virtual time.
 //
-// A controller's state belongs to its loop: what Post takes runs there, one at a time.
-// What Go takes runs beside the loop, may wait in any call that has a context, and
-// comes back with Post.
+// A controller's state belongs to its loop. Functions passed to Post run on the loop, one at a time.
+// Functions passed to Go run outside the loop, may block in any call that takes a context, and report
+// their results with Post.
 type Environment interface {
-	// Now is the monotonic clock of this process.
+	// Now returns the time by the monotonic clock of this process.
 	Now() time.Time
-	// WallClock is the time of day.
+	// WallClock returns the time of day.
 	WallClock() time.Time
-	// Random returns 64 random bits; it may be called from anywhere.
+	// Random returns 64 random bits. It is safe for concurrent use.
 	Random() uint64
-	// Post has f run on the loop. It must not be called there.
+	// Post queues f to run on the loop. It must not be called on the loop itself.
 	Post(f func())
-	// Go runs f beside the loop. It may be called from anywhere.
+	// Go runs f outside the loop. It is safe for concurrent use.
 	Go(f func())
 	// Sleep waits for d, or until ctx ends.
 	Sleep(ctx context.Context, d time.Duration)
-	// NewLatch makes a latch for those who wait beside the loop.
+	// NewLatch returns a latch for functions that wait outside the loop.
 	NewLatch() api.Latch
 
 	// Store returns the state service.
 	Store() Store
 	// Cloud returns the cloud.
 	Cloud() Cloud
-	// DialRegion makes a connection to a controller of another region. Nothing is sent before the first message.
+	// DialRegion opens a connection to a controller of another region. Nothing is sent before the first message.
 	DialRegion(addr string) (RegionPeer, error)
-	// Dial makes a connection to a peer. Nothing is sent before the first message.
+	// Dial opens a connection to a peer. Nothing is sent before the first message.
 	Dial(addr string) (Peer, error)
-	// SendCommands sends a direct call to a worker's address. The status is that of the
-	// answer, whose heartbeat is nil if it did not decode. An error tells that there was
-	// no answer: the commands may be executed all the same, unless the error is
-	// httpwire.ErrNotSent.
+	// SendCommands sends commands to a worker's address in a direct call. It returns the HTTP status and the
+	// heartbeat of the response; the heartbeat is nil if it cannot be decoded. An error means that there was
+	// no response. The worker may execute the commands nevertheless, unless the error is httpwire.ErrNotSent.
 	SendCommands(ctx context.Context, addr string, commands model.DirectCommands) (status int, heartbeat *model.Heartbeat, err error)
 }
 
 // Store is the state service; its errors are those of package store.
 type Store interface {
 	api.Store
-	// GrantLease makes a lease under which keys can be written.
+	// GrantLease creates a lease that can be attached to keys.
 	GrantLease(ctx context.Context, ttl time.Duration) (lease uint64, err error)
 	// KeepAlive extends a lease.
 	KeepAlive(ctx context.Context, lease uint64) error
--- a/internal/controller/fence.go
+++ b/internal/controller/fence.go
@@ -7,39 +7,41 @@
 	"github.com/marlwood/marlwood/internal/store"
 )
 
-// fence orders the changes of a kind of records: each change writes the fence's own key, on condition of
-// the revision that the change before gave it. So a transaction that is executed late, after a newer
-// change, fails, whatever keys it names.
+// fence serializes the changes of one kind of records. Each change also writes the fence's own key, with
+// the precondition that the key still has the revision that the previous change gave it. A transaction that
+// is executed late, after a newer change, therefore fails, whatever keys it writes.
 //
-// Guard: a record's own revision does not void a late transaction that creates it. A drain went
-// unanswered, was repeated, stored, and removed; executed then, the first one had the machine drained
-// again, after an operator was told that it was not (TestLateDrainIsVoid).
+// Guard: a precondition on a record's own revision does not stop a late transaction that creates the record.
+// A drain got no answer, was repeated and stored, and the drain was then removed. When the first transaction
+// was executed after that, the machine was drained again, although an operator had been told that it was not
+// drained (TestLateDrainFails).
 //
-// A version that doesn't know the fence neither reads nor changes it; its own changes are as safe as
-// they were. Late ones of an earlier leader fail by their fencing token. It is not safe for concurrent use.
+// A version that does not know the fence neither reads nor writes it; its changes are as safe
+// as they were before the fence existed. Late changes of an earlier leader fail because of their fencing token. A fence is not safe
+// for concurrent use.
 type fence struct {
 	key      string
 	state    fenceState
-	revision uint64 // of the key as last known; 0: it doesn't exist
+	revision uint64 // last known revision of the key; 0 if the key does not exist
 	queue    []func()
 }
 
-// fenceState reports whether the next change may be sent.
+// fenceState determines whether the next change may be sent.
 type fenceState int
 
 // The states of a fence.
 const (
 	fenceIdle     fenceState = iota // the revision is known
-	fenceChanging                   // a change is under way
-	fenceUnknown                    // the outcome of one is unknown: the revision is read before the next
+	fenceChanging                   // a change is in flight
+	fenceUnknown                    // the outcome of a change is unknown: the revision is read before the next change
 )
 
 func (f *fence) setState(s fenceState) { f.state = s }
 
-// maxQueuedChanges bounds how many changes wait for their turn.
+// maxQueuedChanges is the maximum number of changes that wait in a fence's queue.
 const maxQueuedChanges = 64
 
-// run executes a change when it is its turn; false: too many wait.
+// run executes a change, at once or when the changes before it have finished. It returns false if the queue is full.
 func (f *fence) run(change func()) bool {
 	switch {
 	case f.state != fenceChanging:
@@ -52,7 +54,7 @@
 	return true
 }
 
-// guard adds the fence to a change that is about to be sent, whose turn it is.
+// guard adds the fence's precondition and write to a change that is about to be sent.
 func (f *fence) guard(txn store.Txn) store.Txn {
 	f.setState(fenceChanging)
 	txn.Preconditions = append(txn.Preconditions, store.Precondition{Key: f.key, Revision: f.revision})
@@ -60,7 +62,7 @@
 	return txn
 }
 
-// finish records the revision after a change, if it is known, and runs the next change.
+// finish records the revision after a change, if it is known, and runs the next queued change.
 func (f *fence) finish(revision uint64, known bool) {
 	f.setState(fenceUnknown)
 	if known {
@@ -74,10 +76,10 @@
 	}
 }
 
-// drainsFence is the key of the fence of drains.
+// drainsFence is the key of the fence for drain records.
 const drainsFence = placement.OpsPrefix + "drains-fence"
 
-// readFence reads the revision of a fence. It runs outside the loop.
+// readFence reads the revision of a fence's key; it returns 0 if the key does not exist. It runs outside the loop.
 func (t *leaderTerm) readFence(key string) (revision uint64, err error) {
 	item, err := t.ctrl.store.Get(t.ctx, key)
 	if errors.Is(err, store.ErrNotFound) {
--- a/internal/controller/fence_test.go
+++ b/internal/controller/fence_test.go
@@ -9,15 +9,15 @@
 	"github.com/marlwood/marlwood/internal/store"
 )
 
-// A drain that went unanswered, was repeated, stored and ended is void when it is executed late;
-// so is the end of a drain after the machine was drained again.
-func TestLateDrainIsVoid(t *testing.T) {
+// A drain gets no answer, is repeated, stored and ended; when the first transaction is executed after that, it
+// must fail. The same holds for the end of a drain that is executed after the machine was drained again.
+func TestLateDrainFails(t *testing.T) {
 	const key = "ops/drain/node/m1"
 	for _, c := range []struct {
 		name   string
-		late   int // which of the changes goes unanswered and is carried out last
+		late   int // index of the change that gets no answer and is executed last
 		exists bool
-	}{{"a drain, after its repeat was ended", 0, false}, {"an end, after the machine was drained anew", 1, true}} {
+	}{{"a drain, after its repeat was ended", 0, false}, {"an end, after the machine was drained again", 1, true}} {
 		kv := simulation.NewStore(simulation.New(1), 16)
 		drainFence := fence{key: drainsFence}
 		var late store.Txn
@@ -29,7 +29,7 @@
 			}
 			txn = drainFence.guard(txn)
 			if n == c.late {
-				late = txn // no answer; the fence is read instead
+				late = txn // no answer; the fence is read to learn its revision
 				it, err := kv.Get(drainsFence)
 				if err != nil {
 					it.Revision = 0
@@ -53,17 +53,17 @@
 		}
 		out, err := kv.Txn(late)
 		if err != nil || !slices.Contains(out.Failed, drainsFence) {
-			t.Errorf("%s: executed late: %v %v", c.name, out, err)
+			t.Errorf("%s: the late transaction did not fail: %v %v", c.name, out, err)
 		}
 		if _, err := kv.Get(key); (err == nil) != c.exists {
-			t.Errorf("%s: in the end there is %v", c.name, err)
+			t.Errorf("%s: reading the drain record at the end: %v", c.name, err)
 		}
 	}
 }
 
-// Changes have their turn one after the other, also after one whose outcome isn't known; more than a
-// bound are turned away.
-func TestChangesTakeTurns(t *testing.T) {
+// A fence runs changes one after another, also after a change whose outcome is unknown, and rejects changes
+// when its queue is full.
+func TestFenceSerializesChanges(t *testing.T) {
 	drainFence := fence{key: "k"}
 	var ran []int
 	begin := func(n int) bool {
@@ -71,7 +71,7 @@
 	}
 	for n := range maxQueuedChanges + 3 {
 		if ok := begin(n); ok != (n <= maxQueuedChanges) {
-			t.Errorf("change %d is taken: %v", n, ok)
+			t.Errorf("change %d accepted: %v", n, ok)
 		}
 	}
 	drainFence.finish(7, true)
@@ -81,9 +81,9 @@
 	}
 	drainFence.queue = nil
 	if drainFence.finish(0, false); drainFence.state != fenceUnknown {
-		t.Errorf("after an outcome that isn't known: %v", drainFence.state)
+		t.Errorf("state after an unknown outcome: %v", drainFence.state)
 	}
 	if begin(99); ran[len(ran)-1] != 99 || drainFence.state != fenceChanging {
-		t.Errorf("the next one does not begin: %v", ran)
+		t.Errorf("the next change is not run: %v", ran)
 	}
 }
--- a/internal/controller/health.go
+++ b/internal/controller/health.go
@@ -9,22 +9,23 @@
 )
 
 const (
-	// storeDownAfter is how long the state service may leave this controller without an answer before
-	// it counts as refused, if the leader still reaches the state service.
+	// storeDownAfter is how long this controller may go without an answer of the state service before it
+	// counts as refused by it, provided that the leader still reaches the state service.
 	storeDownAfter = 3 * time.Second
-	// leaderStoreAge is how old the leader's last word that it does may be.
+	// leaderStoreAge is the maximum age of the leader's last report that it reaches the state service.
 	leaderStoreAge = 2500 * time.Millisecond
-	// loopStalledAfter is how long the loop may be without a tick before health checks fail.
+	// loopStalledAfter is how long the loop may go without a tick before health checks fail.
 	loopStalledAfter = 3 * time.Second
 )
 
-// health answers health checks, beside the loop: they must not wait behind the work of a busy
-// one. A controller that the state service alone refuses is of no use to users; in a general
-// outage the others are no better. One whose loop stands still is of no use either.
+// health answers a health check outside the loop, so that the check does not wait behind the work of a busy
+// loop. A controller fails the check if it alone is refused by the state service, because it cannot serve
+// users; in a general outage of the state service the other controllers are no better. A controller whose
+// loop is stalled fails too.
 //
-// Guard: queued with the heartbeats of a whole cluster that came back at once, checks were
-// answered late or with 503. The load balancer took the controllers out one after the
-// other, for longer each time, and users found none of them (TestBusyLoop).
+// Guard: when checks were queued with the heartbeats of a whole cluster that came back at once, they were
+// answered late or with 503. The load balancer removed one controller after another, for longer each time,
+// until users could reach none of them (TestBusyLoop).
 func (c *Controller) health(now time.Time) httpwire.Answer {
 	switch reason := c.unavailableReason(now); {
 	case !c.contacts.store.seen() || c.knownTypes() == nil:
@@ -37,8 +38,8 @@
 	return httpwire.Answer{Status: http.StatusOK, Body: []byte(`{"status":"ok"}`)}
 }
 
-// unavailableReason tells why this controller cannot serve users whom another may serve; empty: nothing
-// is known that prevents it.
+// unavailableReason returns why this controller cannot serve users while another controller may be able to.
+// It returns "" if no such reason is known.
 func (c *Controller) unavailableReason(now time.Time) string {
 	switch uptime := c.uptime(now); {
 	case !c.contacts.store.seen():
@@ -51,7 +52,7 @@
 	return ""
 }
 
-// isRefusedByStore tells that the state service does not answer this controller, but the leader.
+// isRefusedByStore reports whether the state service does not answer this controller but answers the leader.
 func (c *Controller) isRefusedByStore(uptime time.Duration) bool {
 	contacts := &c.contacts
 	return contacts.store.age(uptime) > storeDownAfter &&
--- a/internal/controller/heartbeat_queue.go
+++ b/internal/controller/heartbeat_queue.go
@@ -7,18 +7,18 @@
 	"github.com/marlwood/marlwood/internal/workers"
 )
 
-// pendingHeartbeat is a heartbeat whose answer waits for a message of the leader: for a delegated lease,
-// or for the acknowledgement of the machine's tasks.
+// pendingHeartbeat is a heartbeat whose answer waits for a message of the leader, which brings a delegated lease
+// or the acknowledgement of the machine's tasks.
 type pendingHeartbeat struct {
 	heartbeat *model.Heartbeat
 	reply     func(workers.HeartbeatResult)
 	arrivedAt time.Time
-	deadline  time.Time               // when it is answered in any case
-	result    workers.HeartbeatResult // what it would be answered with now
+	deadline  time.Time               // when it is answered even without a message of the leader
+	result    workers.HeartbeatResult // the answer if it were sent now
 }
 
-// heartbeatQueue holds the pending heartbeats in the order of their arrival: as many at most as workers
-// are connected.
+// heartbeatQueue holds the pending heartbeats in order of arrival. Its length is bounded by the number of
+// connected workers.
 type heartbeatQueue struct{ pending []pendingHeartbeat }
 
 func (q *heartbeatQueue) add(p pendingHeartbeat) { q.pending = append(q.pending, p) }
@@ -30,7 +30,7 @@
 	return all
 }
 
-// takeExpired removes and returns those whose deadline has passed.
+// takeExpired removes and returns the heartbeats whose deadline has passed.
 func (q *heartbeatQueue) takeExpired(now time.Time) (expired []pendingHeartbeat) {
 	remaining := q.pending[:0]
 	for _, p := range q.pending {
--- a/internal/controller/standstill_test.go
+++ b/internal/controller/standstill_test.go
@@ -22,7 +22,7 @@
 
 // A process that stood still for longer than its leader lease lasts sends nothing
 // of what it had decided before, whatever stage that had reached.
-func TestStandingStill(t *testing.T) {
+func TestPausedLeaderSendsNothing(t *testing.T) {
 	var sent atomic.Int32
 	outside := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		sent.Add(1)
