--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -16,15 +16,15 @@
 	"github.com/marlwood/marlwood/internal/workers"
 )
 
-// serveHeartbeat answers a worker's heartbeat; it runs on the listener's loop and has the controller's loop
-// handle the heartbeat.
+// serveHeartbeat decodes a worker's heartbeat on the listener's loop and queues it for the controller's loop,
+// which answers it.
 func (c *Controller) serveHeartbeat(req *httpwire.Request, reply httpwire.Reply) {
 	heartbeat, err := decodeHeartbeat(req.Body)
 	if err != nil {
 		reply(api.ErrorAnswer(http.StatusBadRequest, err.Error()))
 		return
 	}
-	env, _ := c.env.(*liveEnvironment) // requests come from its listener
+	env, _ := c.env.(*liveEnvironment) // only the live environment has a listener
 	arrivedAt := c.env.Now()
 	handle := env.timed(func() {
 		now := c.env.Now()
@@ -44,8 +44,9 @@
 
 // decodeHeartbeat decodes and checks a worker's heartbeat.
 func decodeHeartbeat(body []byte) (*model.Heartbeat, error) {
-	// Guard: the decoder passes strings on as they are, and what is not UTF-8 cannot be sent
-	// to the leader: one such heartbeat would keep an owner's answers from it (FuzzReadReport).
+	// Guard: the decoder does not check the encoding of strings, and a string that is not UTF-8 cannot be
+	// sent to the leader. One such heartbeat would block all of an owner's responses to the leader
+	// (FuzzReadReport).
 	if !utf8.Valid(body) {
 		return nil, errors.New("not a report: not UTF-8")
 	}
@@ -58,10 +59,9 @@
 
 // heartbeatQueueWait is how long a heartbeat may wait for the loop.
 //
-// Guard: a worker gives a heartbeat up after four seconds and drops the answer. When all
-// workers come back at once, a queue of heartbeats that nobody waits for any more would keep
-// the loop from those that somebody does, for as long as they all come again
-// (TestLateHeartbeatsAreDropped).
+// Guard: a worker gives up on a heartbeat after four seconds and drops a later answer. When all workers come
+// back at once, the loop would be kept busy by queued heartbeats whose workers have given up and delay the
+// others, for as long as all workers keep retrying (TestLateHeartbeatsAreDropped).
 const heartbeatQueueWait = 3 * time.Second
 
 // heartbeatAnswer encodes the result of a heartbeat for the worker.
@@ -90,16 +90,17 @@
 // acknowledgementWait is how long a heartbeat waits for the leader's acknowledgement. A worker gives up after
 // four seconds.
 //
-// Guard: in a takeover of thousands of machines at once the acknowledgement takes longer than a lease
-// does. Sent away sooner, workers went from one controller to the next, and their leases ran out meanwhile.
+// Guard: in a takeover of thousands of machines at once, the acknowledgement takes longer to arrive than a
+// delegated lease does. When workers were turned away sooner, they went from one controller to the next, and
+// their leases expired meanwhile.
 const acknowledgementWait = 3 * time.Second
 
-// answerHeartbeat answers a heartbeat, or queues it while only a message of the leader is missing.
+// answerHeartbeat answers a heartbeat, or queues it if it only needs a message of the leader.
 //
-// Guard: for some seconds after the leader was lost no controller has a delegated lease. Workers
-// that were turned away then went from controller to controller, to the lost one as well,
-// where each try takes four seconds; their leases ran out before the next
-// leader's first lease (TestReportsWaitForAGrant).
+// Guard: for some seconds after the leader is lost, no controller has a delegated lease. Workers that were
+// turned away during that time went from controller to controller, including the lost one, where each try
+// takes four seconds. Their leases expired before the next leader delegated its first lease
+// (TestHeartbeatsWaitForDelegatedLease).
 func (c *Controller) answerHeartbeat(now time.Time, pending pendingHeartbeat) {
 	pending.result = c.registry.HandleHeartbeat(now, pending.heartbeat)
 	if pending.result.NotifyLeader && c.term != nil {
@@ -120,7 +121,7 @@
 	c.answerUndecided(pending)
 }
 
-// answerUndecided answers a heartbeat that has waited for too long.
+// answerUndecided answers a heartbeat that has waited too long for a message of the leader.
 func (c *Controller) answerUndecided(pending pendingHeartbeat) {
 	if leader, _ := c.registry.Leader(); leader != "" && leader != c.cfg.Member {
 		pending.result.Status = http.StatusMisdirectedRequest
@@ -129,22 +130,23 @@
 	pending.reply(pending.result)
 }
 
-// retryPendingHeartbeats tries to answer all pending heartbeats, after a message of the leader.
+// retryPendingHeartbeats tries again to answer all pending heartbeats after a message of the leader.
 func (c *Controller) retryPendingHeartbeats(now time.Time) {
 	for _, pending := range c.pendingHeartbeats.takeAll() {
 		c.answerHeartbeat(now, pending)
 	}
 }
 
-// expirePendingHeartbeats answers the heartbeats that have waited for too long. Nothing but a message of the leader
-// changes what the others wait for.
+// expirePendingHeartbeats answers the heartbeats that have waited too long. The others stay queued, because only
+// a message of the leader can change their result.
 func (c *Controller) expirePendingHeartbeats(now time.Time) {
 	for _, pending := range c.pendingHeartbeats.takeExpired(now) {
 		c.answerUndecided(pending)
 	}
 }
 
-// otherPeer names a controller other than this one and the one that is probably lost; empty: there is none.
+// otherPeer returns the name of a controller other than this one and the one that is probably lost, or "" if
+// there is none.
 func (c *Controller) otherPeer(lost string) string {
 	for _, peer := range c.peers {
 		if !peer.local && peer.member != lost {
--- a/internal/controller/http.go
+++ b/internal/controller/http.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// maxMutations and maxQueries are the most user requests that are served at once.
+	// maxMutations and maxQueries bound how many user requests are served at once.
 	maxMutations = 64
 	maxQueries   = 192
 	// userRequestTimeout is how long a user's request may take.
@@ -20,24 +20,24 @@
 	maxBodyBytes = 64 << 10
 )
 
-// The paths that workers and health checks use; all others are the users' API.
+// Paths for workers and health checks. All other paths belong to the users' API.
 const (
 	heartbeatPath = "/checkin"
 	healthPath    = "/up"
 )
 
-// requestSlots bound how many user requests are served at once. Queries have slots of their own:
-// however many there are, they take none from submissions. It is safe for concurrent use.
+// requestSlots bounds how many user requests are served at once. Queries have separate slots, so that they
+// cannot use up the slots of submissions. It is safe for concurrent use.
 type requestSlots struct {
-	mutations chan struct{} // submissions and cancellations under way
-	queries   chan struct{} // queries under way
+	mutations chan struct{} // one element for each submission or cancellation in progress
+	queries   chan struct{} // one element for each query in progress
 }
 
 func newRequestSlots() requestSlots {
 	return requestSlots{mutations: make(chan struct{}, maxMutations), queries: make(chan struct{}, maxQueries)}
 }
 
-// acquire takes a slot, if one is free, until release is called.
+// acquire takes a slot if one is free. The slot is held until release is called.
 func (s requestSlots) acquire(readOnly bool) (release func(), ok bool) {
 	slots := s.mutations
 	if readOnly {
@@ -71,7 +71,7 @@
 	}
 }
 
-// serveUser serves a request of the users' API, beside the loop.
+// serveUser serves a request of the users' API outside the loop.
 func (c *Controller) serveUser(req *httpwire.Request, reply httpwire.Reply) {
 	call, ok := c.api.Route(req)
 	unavailable := c.unavailableReason(c.env.Now())
@@ -82,7 +82,7 @@
 	case call.Serve == nil:
 		reply(api.ErrorAnswer(http.StatusMethodNotAllowed, "method not allowed"))
 		return
-	case unavailable != "": // at once rather than after a timeout
+	case unavailable != "": // refuses the request at once, instead of letting it time out
 		reply(api.RetryAnswer(http.StatusServiceUnavailable, unavailable))
 		return
 	}
--- a/internal/controller/isolation.go
+++ b/internal/controller/isolation.go
@@ -7,17 +7,18 @@
 	"github.com/marlwood/marlwood/internal/peers/peerspb"
 )
 
-// A controller that has lost the state service probes its peers. If none answers it is isolated,
-// although it may still hear workers and users, and is of no use to users; if some do, the state
-// service is unavailable to all, or refuses this one, which the leader tells.
+// A controller that has lost the state service probes its peers. If no peer answers, the controller is isolated
+// and cannot serve users, although it may still receive requests of workers and users. If a peer answers, the state
+// service is either unavailable to all controllers or refuses only this one; the leader reports which.
 //
-// Guard: isolated with the workers, a controller took the state service for unavailable, reported that it
-// was healthy, and the load balancer sent it a third of all users, who got 503 for as long as it lasted.
+// Guard: a controller that was isolated together with the workers assumed that the state service was unavailable
+// to all and reported itself healthy. The load balancer sent it a third of all users, who got 503 for as long as
+// the isolation lasted.
 const (
-	probePeersAfter = 1500 * time.Millisecond // without an answer of the state service until peers are probed
-	probeInterval   = time.Second             // between two probes
-	isolatedAfter   = 3 * time.Second         // without the state service and any peer
-	probeTimeout    = 900 * time.Millisecond  // for an answer
+	probePeersAfter = 1500 * time.Millisecond // time without an answer of the state service before peers are probed
+	probeInterval   = time.Second             // time between two probes
+	isolatedAfter   = 3 * time.Second         // time without contact to the state service or any peer
+	probeTimeout    = 900 * time.Millisecond  // deadline for the answer to a probe
 )
 
 // probePeers probes the peers while the state service does not answer.
@@ -36,17 +37,17 @@
 	}
 }
 
-// probe records whether a peer answers. It runs beside the loop.
+// probe sends a message to a peer and records the contact if the peer answers. It runs outside the loop.
 func (c *Controller) probe(conn Peer) {
 	ctx, cancel := context.WithTimeout(c.ctx, probeTimeout)
 	defer cancel()
-	// A message under no token has no effect, and is answered.
+	// A message without a token is answered but has no effect.
 	if _, err := conn.Round(ctx, &peerspb.RoundRequest{Leader: c.cfg.Member}); err == nil {
 		c.notePeerContact(c.env.Now())
 	}
 }
 
-// isIsolated tells that neither the state service nor any peer was heard of for some time.
+// isIsolated reports whether there was no contact with the state service or any peer for isolatedAfter.
 func (c *Controller) isIsolated(uptime time.Duration) bool {
 	return c.contacts.store.age(uptime) > isolatedAfter && c.contacts.peer.age(uptime) > isolatedAfter && len(c.peers) > 1
 }
--- a/internal/controller/leader_term.go
+++ b/internal/controller/leader_term.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	jobCountsInterval = time.Second      // between publications of the job counts
-	summaryInterval   = 10 * time.Second // between log lines about the cluster
+	jobCountsInterval = time.Second      // time between publications of the job counts
+	summaryInterval   = 10 * time.Second // time between log lines that summarize the cluster
 )
 
-// leaderTerm is one leadership, from a won election until it ends. A renewed token does not end it.
-// It belongs to the controller's loop, but for methods that say that they run beside it.
+// leaderTerm is one term of this controller as leader, from a won election until leadership is lost. A renewed
+// token does not end it. It belongs to the controller's loop, except for methods documented to run outside the loop.
 type leaderTerm struct {
 	ctrl      *Controller
-	ctx       context.Context // bounds all goroutines of the term; it is over when the term is
+	ctx       context.Context // bounds all goroutines of the term; cancelled when the term ends
 	end       context.CancelFunc
-	token     uint64 // the present fencing token
+	token     uint64 // the current fencing token
 	began     time.Time
 	scheduler *scheduler.Scheduler
 
@@ -31,19 +31,19 @@
 	cloudCalls      cloudCalls
 	nextSummary     time.Time // when the cluster is logged next
 	nextCounts      time.Time // when job counts are published next
-	nextCheck       time.Time // of how needed jobs ended
+	nextCheck       time.Time // when the outcomes of dependencies are checked next
 	machineRecords  *machinerecords.Ledger
-	quotas          *quotaExchange // nil: there is one region only
+	quotas          *quotaExchange // nil if there is only one region
 	usage           usageAccounts
 	partRevisions   partRevisions
-	cancelledJobs   map[string]time.Time // jobs whose tasks are being stopped: when the last view without that was asked for
-	expiringRecords map[string]uint64    // revisions under which the scheduler knows records that are to be deleted
+	cancelledJobs   map[string]time.Time // by job: request time of the last view of the jobs before its cancellation
+	expiringRecords map[string]uint64    // revisions at which the scheduler knows records that are to be deleted
 	drains          drainRecords
-	operatorRelist  relistSchedule // of drains and settings
-	pendingReload   *pendingReload // under way; nil: none is
+	operatorRelist  relistSchedule // schedule for listing drains and settings again
+	pendingReload   *pendingReload // reload in progress; nil if there is none
 }
 
-// newLeaderTerm begins a term under a token. It draws two random numbers for the scheduler.
+// newLeaderTerm begins a term under a token. It takes two random numbers from the environment for the scheduler.
 func newLeaderTerm(ctrl *Controller, token uint64, now time.Time) *leaderTerm {
 	ctx, cancel := context.WithCancel(ctrl.ctx)
 	t := &leaderTerm{
@@ -70,8 +70,8 @@
 		Log:      ctrl.log,
 	})
 	t.quotas = newQuotaExchange(t, now)
-	// An earlier leader may have acted for a whole leader lease after its last check, and
-	// the lease that it delegated last may begin only then.
+	// An earlier leader may have acted for a whole leader lease after its last check of the leader key, and
+	// the last lease that it delegated may begin only at the end of that time.
 	earlierLeasesEnd := now.Add(withClockDrift(ctrl.timing.LeaderLease + ctrl.timing.DelegatedLease))
 	for _, peer := range ctrl.peers {
 		peer.beginTerm(earlierLeasesEnd)
@@ -84,7 +84,7 @@
 	return t
 }
 
-// tokenRenewed goes on under a fresh token of the same term.
+// tokenRenewed continues the term under a fresh token.
 func (t *leaderTerm) tokenRenewed(token uint64, now time.Time) {
 	t.ctrl.log.Info("token renewed", "old", t.token, "new", token)
 	t.token = token
@@ -99,7 +99,7 @@
 	t.rounds.next = now
 }
 
-// tick does what is due for the leader, in a fixed order.
+// tick does all work of the leader that is due, in a fixed order.
 func (t *leaderTerm) tick(now time.Time) {
 	t.advanceRounds(now)
 	t.watchOwners(now)
@@ -130,14 +130,14 @@
 	t.logSummary(now)
 }
 
-// expireMachines has the scheduler give up machines whose leases have expired.
+// expireMachines makes the scheduler drop machines whose leases have expired.
 func (t *leaderTerm) expireMachines(now time.Time) {
 	if names := t.scheduler.ConfirmExpiries(now, t.ctrl.elector.LastCheck()); len(names) > 0 {
 		t.ctrl.log.Info("machines expired", "count", len(names), "machines", names)
 	}
 }
 
-// publishJobCounts publishes the counts of open jobs for users' queries, which are served beside the loop.
+// publishJobCounts publishes the counts of open jobs for users' queries, which are served outside the loop.
 func (t *leaderTerm) publishJobCounts(now time.Time) {
 	if now.Before(t.nextCounts) {
 		return
@@ -147,7 +147,7 @@
 	t.ctrl.jobCounts.Store(&counts)
 }
 
-// logSummary logs the state of the cluster now and then.
+// logSummary logs a summary of the cluster every summaryInterval.
 func (t *leaderTerm) logSummary(now time.Time) {
 	if now.Before(t.nextSummary) {
 		return
--- a/internal/controller/live_environment.go
+++ b/internal/controller/live_environment.go
@@ -26,31 +26,31 @@
 )
 
 const (
-	// maxQueuedEvents is how many events wait for the loop before Post blocks.
+	// maxQueuedEvents is how many events may wait for the loop before Post blocks.
 	maxQueuedEvents = 1024
 	// cloudShare is the share of the cloud's request rate that is used.
 	cloudShare = 0.85
-	// maxWorkerAnswerBytes bounds a worker's answer to a direct call.
+	// maxWorkerAnswerBytes bounds the size of a worker's answer to a direct call.
 	maxWorkerAnswerBytes = 4 << 20
 )
 
-// liveEnvironment is the Environment of sockets, goroutines and the machine's clocks.
+// liveEnvironment is the Environment that uses sockets, goroutines and the machine's clocks.
 type liveEnvironment struct {
 	events      chan func()
-	heartbeats  chan func()   // of workers: no more than there are connections
+	heartbeats  chan func()   // handlers of workers' heartbeats; the capacity is the limit of connections
 	ended       chan struct{} // closed when the loop has ended
 	end         sync.Once
 	store       *store.Client
 	cloud       *autoscaler.Cloud
-	peerTimeout time.Duration // deadline of a message to a peer
+	peerTimeout time.Duration // timeout of a message to a peer
 
 	sockets       *sockets.Budget
-	metrics       *metrics.Set // nil: off
+	metrics       *metrics.Set // nil if metrics are off
 	mu            sync.Mutex
-	workerClients *lru.Cache[string, *httpwire.Client] // of workers, by address
+	workerClients *lru.Cache[string, *httpwire.Client] // clients for calls to workers, by address
 }
 
-// newLiveEnvironment makes the live environment; nothing is sent before it is used.
+// newLiveEnvironment creates the live environment. It sends nothing itself.
 func newLiveEnvironment(platform *settings.Platform, operator *settings.Operator) (*liveEnvironment, error) {
 	limits := sockets.Divide(platform.MaxConns, operator.Service.UserConnsShare)
 	workerClients, err := lru.NewWithEvict(limits.Direct, func(_ string, client *httpwire.Client) { client.Close() })
@@ -103,7 +103,7 @@
 // Dial implements Environment.
 func (env *liveEnvironment) Dial(addr string) (Peer, error) { return peers.Dial(addr, env.peerTimeout) }
 
-// stop releases those who wait in Post after the loop has ended.
+// stop unblocks callers that wait in Post after the loop has ended.
 func (env *liveEnvironment) stop() { env.end.Do(func() { close(env.ended) }) }
 
 // Post implements Environment. After the loop has ended it drops the event.
@@ -115,7 +115,7 @@
 	}
 }
 
-// timed measures how long an event waits for the loop.
+// timed wraps an event so that its wait for the loop is measured.
 func (env *liveEnvironment) timed(f func()) func() {
 	if env.metrics == nil {
 		return f
@@ -135,7 +135,7 @@
 	}
 }
 
-// bootID names a process; no two ever have the same.
+// bootID returns a random ID that is unique to this process.
 func bootID() (uint64, error) {
 	var id [8]byte
 	_, err := crand.Read(id[:])
@@ -154,7 +154,7 @@
 	return client
 }
 
-// SendCommands implements Environment. An answer that does not decode has no heartbeat.
+// SendCommands implements Environment.
 func (env *liveEnvironment) SendCommands(ctx context.Context, addr string, commands model.DirectCommands) (int, *model.Heartbeat, error) {
 	body, err := json.Marshal(commands)
 	if err != nil {
@@ -167,7 +167,8 @@
 	return response.Status, decodeWorkerAnswer(response.Body), nil
 }
 
-// decodeWorkerAnswer decodes the heartbeat with which a worker answers; nil: it makes no sense.
+// decodeWorkerAnswer decodes the heartbeat in a worker's answer. It returns nil if the body is not valid JSON of
+// a heartbeat.
 func decodeWorkerAnswer(body []byte) *model.Heartbeat {
 	heartbeat := &model.Heartbeat{}
 	if json.Unmarshal(body, heartbeat) != nil {
--- a/internal/controller/transactions.go
+++ b/internal/controller/transactions.go
@@ -7,11 +7,11 @@
 	"github.com/marlwood/marlwood/internal/store"
 )
 
-// maxTxnBytes bounds the values of a transaction that writes several of them.
+// maxTxnBytes bounds the total size of the values in a transaction that writes several of them.
 const maxTxnBytes = 48 << 10
 
-// newTxn makes a transaction with the precondition that every write of the leader carries: the leader
-// key still has the revision that is the term's fencing token.
+// newTxn returns a transaction with the precondition that every write of the leader carries: the revision of
+// the leader key still equals the term's fencing token.
 func (t *leaderTerm) newTxn(writes ...store.Write) store.Txn {
 	return store.Txn{
 		Preconditions: []store.Precondition{{Key: leadership.Key, Revision: t.token}},
@@ -20,8 +20,7 @@
 	}
 }
 
-// commit runs a transaction of the leader, beside the loop, if the leader lease still holds when its
-// turn comes.
+// commit runs a transaction of the leader if this controller still holds the leader lease. It runs outside the loop.
 func (t *leaderTerm) commit(txn store.Txn) (store.TxnResult, error) {
 	if !t.ctrl.holdsLease() {
 		return store.TxnResult{}, fmt.Errorf("%w: %w", store.ErrRefused, errLeaseExpired)
