--- a/internal/controller/owner_reachability.go
+++ b/internal/controller/owner_reachability.go
@@ -6,31 +6,31 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// reachabilityState is what the leader holds about whether the machines of a pool can reach a controller.
+// reachabilityState is the leader's assessment of whether the machines of a pool can reach a controller.
 type reachabilityState int
 
 const (
-	// ownerReached: nothing speaks against the controller.
+	// ownerReached means that there is no sign that the pool's machines cannot reach the controller.
 	ownerReached reachabilityState = iota
-	// ownerSuspected: it owns the pool and hears nothing from most of the pool's machines. For as long as it takes
-	// to find out more, a machine that reports elsewhere is kept from losing its time at the owner.
+	// ownerSuspected means that the controller owns the pool and receives no heartbeats from most of the pool's
+	// machines. Until suspicionSpan has passed, a machine that reports to another controller is not redirected to
+	// the owner, where it might lose time.
 	ownerSuspected
-	// ownerUnconfirmed: too few machines that live have reported elsewhere meanwhile, so the owner is not the cause
-	// of the silence. Machines are redirected to it again.
+	// ownerUnconfirmed means that too few live machines reported to other controllers during the suspicion, so the
+	// owner is not the cause of the missing heartbeats. Machines are redirected to it again.
 	ownerUnconfirmed
-	// ownerUnreachable: machines that live reported elsewhere instead. The pool moves, and the controller is not
-	// given it again for a while.
+	// ownerUnreachable means that live machines reported to other controllers instead. The pool is assigned to
+	// another controller and not given back to this one for a while.
 	ownerUnreachable
 )
 
-// A worker waits so long for the response to a heartbeat, and so long again before it tries the next controller.
 const (
-	heartbeatTimeout  = 4 * time.Second
-	heartbeatTryPause = time.Second
+	heartbeatTimeout  = 4 * time.Second // how long a worker waits for the response to a heartbeat
+	heartbeatTryPause = time.Second     // how long a worker waits before it tries the next controller
 )
 
-// suspicionSpan is how long an owner is suspected: what a machine loses that is sent to an owner which it cannot
-// reach.
+// suspicionSpan is how long an owner is suspected: the time that a machine loses when it is redirected to an owner
+// that it cannot reach.
 const suspicionSpan = heartbeatTimeout + heartbeatTryPause
 
 // poolMember is a pool and a controller that owns or owned it.
@@ -45,11 +45,11 @@
 	since time.Time
 }
 
-// ownerReachability is the one place that holds which pools' machines cannot reach which controllers: those whose
-// state is not ownerReached. It belongs to the loop.
+// ownerReachability holds the pairs of controller and pool whose state is not ownerReached. It is the only record
+// of which pools' machines cannot reach which controllers, and belongs to the loop.
 type ownerReachability map[poolMember]poolReachability
 
-// setState is the only place where a state changes.
+// setState changes the state of a controller for a pool. All changes of a state go through it.
 func (r ownerReachability) setState(at poolMember, state reachabilityState, now time.Time) {
 	switch {
 	case r[at].state == state:
@@ -60,8 +60,9 @@
 	}
 }
 
-// observe takes in which owners hear nothing from most of a pool's machines, and ends what has lasted long enough.
-// unreachableSpan is how long a controller that was unreachable for a pool is not given it again.
+// observe updates the states from the pools that are silent, that is, whose owners receive no heartbeats from most
+// of the pool's machines, and ends states that have lasted long enough. unreachableSpan is how long a controller
+// that was unreachable for a pool is not given the pool again.
 func (r ownerReachability) observe(now time.Time, owners map[model.Pool]string, silent map[model.Pool]bool, unreachableSpan time.Duration) {
 	for at, reachability := range r {
 		age := now.Sub(reachability.since)
@@ -73,8 +74,9 @@
 		case owners[at.pool] != at.member || !silent[at.pool]:
 			r.setState(at, ownerReached, now)
 		case reachability.state == ownerSuspected && age >= suspicionSpan:
-			// Guard: machines that have ended are silent too. As long as the owner was suspected, its other machines
-			// were redirected past it: one that missed a single answer lost its lease (TestSurvivorOfHalfAPool).
+			// Guard: machines that have ended send no heartbeats either. While the owner was suspected without a time
+			// limit, its other machines were not redirected to it, and a machine that missed a single answer lost its
+			// lease (TestSurvivorOfHalfAPool).
 			r.setState(at, ownerUnconfirmed, now)
 		}
 	}
@@ -86,8 +88,8 @@
 	}
 }
 
-// markUnreachable records that the machines of a pool cannot reach its owner, nor then, probably, those of its other
-// pools that are silent.
+// markUnreachable records that the machines of a pool cannot reach its owner. It records the same for the owner's
+// other silent pools, whose machines probably cannot reach it either.
 func (r ownerReachability) markUnreachable(now time.Time, owner string, pool model.Pool) {
 	r.setState(poolMember{owner, pool}, ownerUnreachable, now)
 	for at := range r {
@@ -97,7 +99,7 @@
 	}
 }
 
-// tokenRenewed forgets the suspicions under an earlier token: they say nothing of the next owner.
+// tokenRenewed drops the suspicions made under an earlier token, which do not apply to the next owner.
 func (r ownerReachability) tokenRenewed(now time.Time) {
 	for at, reachability := range r {
 		if reachability.state != ownerUnreachable {
@@ -106,17 +108,17 @@
 	}
 }
 
-// suspects tells whether a pool's machines need not try its owner for now.
+// suspects reports whether the owner is suspected to be unreachable for a pool's machines.
 func (r ownerReachability) suspects(owner string, pool model.Pool) bool {
 	return r[poolMember{owner, pool}].state == ownerSuspected
 }
 
-// mayOwn tells whether a controller may be given a pool.
+// mayOwn reports whether a controller may be given a pool.
 func (r ownerReachability) mayOwn(member string, pool model.Pool) bool {
 	return r[poolMember{member, pool}].state != ownerUnreachable
 }
 
-// isUnreachable tells whether a controller was out of the reach of some pool's machines lately.
+// isUnreachable reports whether a controller is marked unreachable for any pool.
 func (r ownerReachability) isUnreachable(member string) bool {
 	for at, reachability := range r {
 		if at.member == member && reachability.state == ownerUnreachable {
--- a/internal/controller/owner_reachability_test.go
+++ b/internal/controller/owner_reachability_test.go
@@ -7,8 +7,8 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// An owner is suspected for a short time only, and is unreachable for as long as it is told to be, whatever its
-// pools' machines do meanwhile. A fresh token ends suspicions and nothing else.
+// An owner is suspected only for suspicionSpan. It stays unreachable for the span that the test passes to observe,
+// whatever its pools' machines do meanwhile. A fresh token ends suspicions and nothing else.
 func TestOwnerReachability(t *testing.T) {
 	const span = 30 * time.Second
 	pool, other := model.Pool{Type: "box", Zone: "a"}, model.Pool{Type: "box", Zone: "b"}
@@ -22,14 +22,14 @@
 		want    reachabilityState // of pool
 		another reachabilityState // of other
 	}{
-		{"heard", func(r ownerReachability) { r.observe(after(0), owners, map[model.Pool]bool{pool: false}, span) }, ownerReached, ownerReached},
-		{"silent", func(r ownerReachability) { r.observe(after(0), owners, map[model.Pool]bool{pool: true}, span) }, ownerSuspected, ownerReached},
-		{"silent for long", func(r ownerReachability) {
+		{"heartbeats arrive", func(r ownerReachability) { r.observe(after(0), owners, map[model.Pool]bool{pool: false}, span) }, ownerReached, ownerReached},
+		{"no heartbeats", func(r ownerReachability) { r.observe(after(0), owners, map[model.Pool]bool{pool: true}, span) }, ownerSuspected, ownerReached},
+		{"no heartbeats for long", func(r ownerReachability) {
 			r.observe(after(0), owners, silent, span)
 			r.observe(after(suspicionSpan), owners, silent, span)
 			r.observe(after(time.Hour), owners, silent, span)
 		}, ownerUnconfirmed, ownerUnconfirmed},
-		{"heard again", func(r ownerReachability) {
+		{"heartbeats arrive again", func(r ownerReachability) {
 			r.observe(after(0), owners, silent, span)
 			r.observe(after(suspicionSpan), owners, silent, span)
 			r.observe(after(suspicionSpan+1), owners, map[model.Pool]bool{other: true}, span)
@@ -39,7 +39,7 @@
 			r.markUnreachable(after(0), "n1", pool)
 			r.tokenRenewed(after(1))
 		}, ownerReached, ownerReached},
-		{"unreachable, and silent elsewhere", func(r ownerReachability) {
+		{"unreachable, and no heartbeats of another pool", func(r ownerReachability) {
 			r.observe(after(0), owners, silent, span)
 			r.markUnreachable(after(0), "n0", pool)
 			r.tokenRenewed(after(1))
--- a/internal/controller/ownership.go
+++ b/internal/controller/ownership.go
@@ -10,38 +10,38 @@
 )
 
 const (
-	// recentStart is for how long a process counts as having just started: its peers may have
-	// ended with it.
+	// recentStart is how long a process counts as having just started. Its peers may have ended together
+	// with its previous process.
 	recentStart = 10 * time.Second
 	// peerStartWait is how long a leader that has just started waits for its peers before it
 	// assigns owners without them.
 	peerStartWait = 2 * time.Second
-	// lostOwnerWait is how long after an assignment a lost owner may lead to another one.
+	// lostOwnerWait is the minimum time from an assignment to another one that is due to a lost owner.
 	lostOwnerWait = 3 * time.Second
-	// assignmentWait is the same for owners that hear nothing from their machines, and for starts
-	// whose outcome is unknown.
+	// assignmentWait is the minimum time from an assignment to another one that is due to an owner which
+	// receives no heartbeats from its machines, or to a start whose outcome is unknown.
 	assignmentWait = 2 * time.Second
-	// renewalInterval is the least time between two requests for a fresh token.
+	// renewalInterval is the minimum time between two requests for a fresh token.
 	renewalInterval = time.Second
 )
 
-// ownership is how the machine pools are divided among the controllers: each pool is owned by one,
-// which receives the heartbeats of the pool's machines and delivers the leader's orders to them. The
-// assignment itself is the scheduler's; this is what decides when it is made again.
+// ownership decides when the machine pools are assigned to the controllers again. Each pool is owned by one
+// controller, which receives the heartbeats of the pool's machines and delivers the leader's orders to them.
+// The scheduler holds the assignment itself.
 type ownership struct {
-	assignedAt         time.Time         // owners were last assigned; zero: not yet in this term
-	assignDeadline     time.Time         // controllers that do not answer are waited for until then
+	assignedAt         time.Time         // when owners were last assigned; zero if not yet in this term
+	assignDeadline     time.Time         // until when the first assignment waits for controllers that do not answer
 	reachability       ownerReachability // whether the pools' machines reach their owners
-	renewalRequestedAt time.Time         // a fresh token was requested; zero: none is awaited
+	renewalRequestedAt time.Time         // when a fresh token was requested; zero if none is awaited
 }
 
-// assignInitialOwners assigns the owners of a term for the first time, as soon as every controller
-// answers or the deadline has passed.
+// assignInitialOwners assigns the pools for the first time in a term, as soon as every controller answers or
+// the deadline has passed.
 //
-// Guard: after all controllers ended together, the first one back became leader and owned
-// every pool, for its peers answered a quarter of a second later, and none is given
-// pools back before owner-back. At 2500 machines one controller heard too few of them in
-// time: a tenth of the tasks died with their leases (TestOwnersAwaitSiblings).
+// Guard: after all controllers ended together, the first one back became leader and owned every pool, because
+// its peers answered a quarter of a second later, and no controller is given pools back before owner-back. At
+// 2500 machines the single owner handled too few heartbeats in time, and a tenth of the tasks died with their
+// leases (TestInitialOwnersWaitForPeers).
 func (t *leaderTerm) assignInitialOwners(now time.Time) {
 	allLive := true
 	for _, peer := range t.ctrl.peers {
@@ -53,9 +53,8 @@
 	}
 }
 
-// assignOwners assigns each pool to a live controller: to one in the pool's zone if there is any,
-// else to all of them in turn. A controller that cannot reach a pool's machines is passed over while
-// there is another.
+// assignOwners assigns each pool to a live controller: to one in the pool's zone if there is any, else to the
+// live controllers in turn. A controller that the pool's machines cannot reach is skipped if there is another.
 func (t *leaderTerm) assignOwners(now time.Time) {
 	live := t.livePeers(now)
 	pools := t.allPools()
@@ -80,7 +79,7 @@
 	t.ctrl.log.Info("owners", "kinds", len(pools), "live", len(live))
 }
 
-// livePeers lists the controllers that answer, in the order of their names.
+// livePeers returns the live controllers, sorted by name.
 func (t *leaderTerm) livePeers(now time.Time) []*peerProgress {
 	var live []*peerProgress
 	for _, peer := range t.ctrl.peers {
@@ -92,7 +91,7 @@
 	return live
 }
 
-// allPools lists the pools of the known machine types, by zone and type.
+// allPools returns the pools of the known machine types, sorted by zone and type.
 func (t *leaderTerm) allPools() []model.Pool {
 	var pools []model.Pool
 	for _, machineType := range t.ctrl.knownTypes() {
@@ -106,8 +105,8 @@
 	return pools
 }
 
-// watchOwners requests a fresh token when an owner is lost, restarted or back, or when an order
-// must be voided: orders under the old token are then void wherever they travel.
+// watchOwners requests a fresh token when an owner is lost, has restarted, is back or is unreachable, or when an
+// order must be invalidated. Orders under the old token are then rejected, even those still on their way.
 func (t *leaderTerm) watchOwners(now time.Time) {
 	if !t.loaded || t.assignedAt.IsZero() || t.awaitsRenewal(now) {
 		return
@@ -120,7 +119,7 @@
 			reason = unreachable
 		}
 		if reason == "" {
-			reason = t.lateStart()
+			reason = t.unwantedStart()
 		}
 	}
 	if reason != "" {
@@ -128,13 +127,13 @@
 	}
 }
 
-// awaitsRenewal tells whether a fresh token was requested a moment ago.
+// awaitsRenewal reports whether a fresh token was requested within the last renewalInterval.
 func (t *leaderTerm) awaitsRenewal(now time.Time) bool {
 	return !t.renewalRequestedAt.IsZero() && now.Sub(t.renewalRequestedAt) < renewalInterval
 }
 
-// changedOwner names the first controller that is an owner and lost or restarted, or no owner
-// and back, and says which; empty: there is none.
+// changedOwner returns the reason for a fresh token that the first changed controller gives: it is an owner that is
+// lost or has restarted, or it is no owner and is back. It returns "" if there is no such controller.
 func (t *leaderTerm) changedOwner(now time.Time) string {
 	owns := map[string]bool{}
 	for _, member := range t.scheduler.Owners() {
@@ -153,24 +152,25 @@
 	return ""
 }
 
-// isDown tells whether a controller answers no more and its lease has expired.
+// isDown reports whether a controller no longer answers, its delegated lease has expired, and lostOwnerWait has
+// passed since the last assignment.
 func (t *leaderTerm) isDown(peer *peerProgress, now time.Time) bool {
 	return !peer.live(now) && now.After(peer.leaseEnd) && now.Sub(t.assignedAt) > lostOwnerWait
 }
 
-// isBack tells whether a controller has answered for long enough to be given pools again.
+// isBack reports whether a controller has answered for long enough to be given pools again.
 func (t *leaderTerm) isBack(peer *peerProgress, now time.Time) bool {
 	ownerBack := t.ctrl.settings.Placement.OwnerBack
 	return peer.live(now) && !t.reachability.isUnreachable(peer.member) && t.scheduler.Complete() &&
 		now.Sub(peer.answeringSince) > ownerBack && now.Sub(t.assignedAt) > ownerBack
 }
 
-// markUnreachableOwners has owners that do not hear the machines of a pool passed over for it, and
-// for their other pools that are silent and would follow soon. It names one such owner; empty: there is none.
+// markUnreachableOwners marks owners that the machines of a pool cannot reach, so that they are skipped for this
+// pool and for their other silent pools, which would otherwise follow soon. It returns the reason for a fresh token,
+// which names one such owner, or "" if no pool can move.
 //
-// Guard: an owner that only the workers cannot reach still answers the
-// leader. Its machines' tasks ended with their leases although another
-// controller could have kept them alive.
+// Guard: an owner that only the workers cannot reach still answers the leader. Without the mark, its machines'
+// tasks ended with their leases although another controller could have kept them alive.
 func (t *leaderTerm) markUnreachableOwners(now time.Time, late time.Duration) (reason string) {
 	for _, pool := range t.scheduler.UnreachablePools(now, late) {
 		owner := t.scheduler.Owners()[pool]
@@ -182,25 +182,25 @@
 	return reason
 }
 
-// anyMayOwn tells whether there is a controller that a pool can move to. Without one a fresh token would leave it
-// where it is, and no machine's lease would ever run out under a token that young.
+// anyMayOwn reports whether there is a live controller that may own a pool. Without one, a fresh token would leave
+// the pool where it is, and repeated fresh tokens would keep every machine's lease from expiring under any of them.
 func (t *leaderTerm) anyMayOwn(pool model.Pool, now time.Time) bool {
 	return slices.ContainsFunc(t.livePeers(now), func(peer *peerProgress) bool {
 		return t.reachability.mayOwn(peer.member, pool)
 	})
 }
 
-// unreachableSpan is how long a controller that a pool's machines did not reach is not given the pool again.
+// unreachableSpan returns how long a controller that was unreachable for a pool is not given the pool again.
 //
-// Guard: that is never shorter than a machine's lease. Given back sooner, each time under a fresh token, no lease of a
-// machine that has ended would ever have run out under a token that young.
+// Guard: the result is never shorter than a machine's lease. If the pool were given back sooner, each time under a
+// fresh token, the lease of a machine that has ended would never expire under any of these tokens.
 func (t *leaderTerm) unreachableSpan() time.Duration {
 	return max(t.ctrl.settings.Placement.OwnerBack, withClockDrift(t.ctrl.cfg.Lease)+t.ctrl.timing.Margin)
 }
 
-// lateStart names a machine on which a start that is no longer wanted may still be executed;
-// empty: there is none. A fresh token voids the start.
-func (t *leaderTerm) lateStart() string {
+// unwantedStart returns the reason for a fresh token if a start that is no longer wanted may still be executed on
+// a machine, else "". A fresh token invalidates the start.
+func (t *leaderTerm) unwantedStart() string {
 	for _, machine := range t.scheduler.UnreconciledMachines() {
 		if machine.StartOutcomeUnknown {
 			return "unwanted start may come late: " + machine.Name
@@ -218,7 +218,7 @@
 	}
 }
 
-// otherMembers names the controllers that answer, besides one.
+// otherMembers returns the names of all live controllers except one.
 func (t *leaderTerm) otherMembers(member string, now time.Time) (members []string) {
 	for _, peer := range t.ctrl.peers {
 		if peer.member != member && peer.live(now) {
