--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -21,7 +21,7 @@
 	"github.com/marlwood/marlwood/internal/standin"
 )
 
-// ports finds free loopback ports.
+// ports returns the addresses of n free loopback ports.
 func ports(t testing.TB, n int) []string {
 	t.Helper()
 	var out []string
@@ -36,20 +36,20 @@
 	return out
 }
 
-// site is a cluster of three controllers among stand-ins for the state service, the cloud and its workers.
+// site is a cluster of three controllers with fakes of the state service, the cloud and its workers.
 type site struct {
 	testing.TB
 	state *standin.State
 	cloud *standin.Cloud
-	addrs []string             // of the listeners for users and workers, then of those for peers
-	stops []context.CancelFunc // end each controller's process
+	addrs []string             // addresses of the listeners for users and workers, then of those for peers
+	stops []context.CancelFunc // functions that stop each controller
 	nodes []*Controller
 	cfgs  []*settings.Platform
 	op    *settings.Operator
-	down  map[int]bool // that were stopped
+	down  map[int]bool // controllers that were stopped
 }
 
-// newSite makes a cluster whose machines boot and finish tasks within milliseconds.
+// newSite starts a cluster whose machines boot and finish tasks within milliseconds.
 func newSite(t testing.TB, change ...func(i int, cfg *settings.Platform, op *settings.Operator)) *site {
 	t.Helper()
 	return newSiteOn(t, standin.Options{Lease: 2 * time.Second, Report: 20 * time.Millisecond, Soon: 10 * time.Millisecond,
@@ -58,8 +58,8 @@
 		Takes: func(*model.Job, int) time.Duration { return 50 * time.Millisecond }}, change...)
 }
 
-// newSiteOn makes a cluster with machines of the given kind; change adjusts each controller's settings. All
-// goroutines of a controller carry its name as the label "controller", for profiles.
+// newSiteOn starts a cluster with the given options for its machines. change adjusts each controller's settings. All
+// goroutines of a controller carry its name as the profiling label "controller".
 func newSiteOn(t testing.TB, machines standin.Options, change ...func(i int, platform *settings.Platform, operator *settings.Operator)) *site {
 	t.Helper()
 	operator, err := settings.LoadOperator("")
@@ -95,7 +95,7 @@
 	return s
 }
 
-// platform makes the settings of a controller.
+// platform returns the settings of a controller.
 func (s *site) platform(i int, machines standin.Options) *settings.Platform {
 	zones := []string{"a", "b", "c"}
 	platform := &settings.Platform{
@@ -113,7 +113,7 @@
 	return platform
 }
 
-// start starts a process of a controller.
+// start starts a controller.
 func (s *site) start(i int) {
 	ctx, stop := context.WithCancel(context.Background())
 	s.stops[i] = stop
@@ -127,7 +127,7 @@
 	})
 }
 
-// restart ends a controller's process and starts another once its ports are free.
+// restart stops a controller and starts it again once its ports are free.
 func (s *site) restart(i int) {
 	s.Helper()
 	s.stops[i]()
@@ -148,7 +148,7 @@
 
 var client = &http.Client{Timeout: 3 * time.Second}
 
-// ask sends a request to the nodes in turn until one gives a final answer.
+// ask sends a request to the controllers in turn until one answers with a status other than 429 and 503.
 func (s *site) ask(method, path, body string) (int, map[string]any) {
 	s.Helper()
 	deadline := time.Now().Add(30 * time.Second)
@@ -172,7 +172,7 @@
 	return 0, nil
 }
 
-// until queries a job until ok accepts its state.
+// until polls a job until ok accepts its state.
 func (s *site) until(id string, ok func(v map[string]any) bool) {
 	s.Helper()
 	deadline := time.Now().Add(60 * time.Second)
@@ -191,15 +191,15 @@
 
 func done(v map[string]any) bool { return v["stage"] == "done" }
 
-// job is a submission of a job.
+// job returns the request body that submits a job.
 func job(id, shape string, tasks int) string {
 	return fmt.Sprintf(`{"nameId":%q,"docket":"d","crew":"t","shape":%q,"rank":"low","pieces":%d,"cpus":2,"cards":0,"memoryGb":1,
 "kit":"i","sizeGb":1,"together":false,"apart":false,"loaners":false,"guessS":1,"snapshotEveryS":0,"snapshotCostS":0}`, id, shape, tasks)
 }
 
-// TestControllers runs controllers among stand-ins over real sockets: jobs of every shape, a
-// cancellation, an outage, the loss of the leader, and bad input. All of it is recorded,
-// and decided alike from the recording.
+// TestControllers runs controllers over real sockets against fakes: jobs of every shape, a cancellation, an outage
+// of the state service, the loss of the leader, and invalid input. Everything is recorded, and a replay of the
+// recording must make the same decisions.
 func TestControllers(t *testing.T) {
 	s := newSite(t)
 	written, check := s.follow()
@@ -231,7 +231,7 @@
 	s.until("stays", func(v map[string]any) bool { return v["stage"] == "running" && s.cloud.Running() == 2 })
 }
 
-// reloadSettings reloads settings, which are recorded like all else.
+// reloadSettings reloads settings, which are part of the recording.
 func (s *site) reloadSettings() {
 	s.Helper()
 	reload := &operatorspb.Request{What: &operatorspb.Request_Reload{Reload: &operatorspb.ReloadRequest{Text: `(marlwood (fleet (idle "9s")))`}}}
@@ -240,7 +240,7 @@
 	}
 }
 
-// surviveOutage checks that an outage of the state service shorter than the leader lease costs no task.
+// surviveOutage checks that no task is lost in an outage of the state service that is shorter than the leader lease.
 func (s *site) surviveOutage() {
 	s.Helper()
 	s.state.Refuse(true)
@@ -254,7 +254,7 @@
 	}
 }
 
-// stopKnownLeader ends the process of the leader, which must be known, and returns the controllers that are left.
+// stopKnownLeader stops the leader, which must be known, and returns the indices of the remaining controllers.
 func (s *site) stopKnownLeader() (left []int) {
 	s.Helper()
 	leader, token := s.nodes[0].leader()
@@ -270,8 +270,7 @@
 	return left
 }
 
-// finishAfterTakeover checks that the controllers that are left go on with what the leader left: new
-// jobs, a cancellation, and jobs that were over.
+// finishAfterTakeover checks that the remaining controllers run a new job, cancel a running one and know a done one.
 func (s *site) finishAfterTakeover() {
 	s.Helper()
 	if status, v := s.ask("POST", "/api/jobs", job("after", "batch", 5)); status != 201 {
@@ -284,27 +283,27 @@
 	deadline := time.Now().Add(8 * time.Second)
 	for s.cloud.Running() > 0 {
 		if time.Now().After(deadline) {
-			s.Fatal("a cancelled job's tasks go on")
+			s.Fatal("tasks of a cancelled job are still running")
 		}
 		s.ask("GET", "/api/jobs/stays", "")
 	}
 	if status, v := s.ask("GET", "/api/jobs/array", ""); status != 200 || !done(v) {
-		s.Errorf("a done job is %v", v)
+		s.Errorf("state of the done job: %v", v)
 	}
 	if broken := s.cloud.Broken(); len(broken) > 0 {
 		s.Errorf("ran twice: %v", broken)
 	}
 }
 
-// badInput is a request and how it is answered.
+// badInput is a request and the expected response.
 type badInput struct {
 	name   string
 	send   string
 	status int
-	closes bool // the connection is closed after the answer
+	closes bool // whether the connection is closed after the response
 }
 
-// answerBadInput sends requests that cannot be served, and a health check.
+// answerBadInput checks the responses to invalid requests and to a health check.
 func (s *site) answerBadInput(node int) {
 	s.Helper()
 	for _, c := range []badInput{
@@ -313,8 +312,8 @@
 		{"unknown path", "GET /other HTTP/1.1\r\n\r\n", 404, false},
 		{"unknown job", "GET /api/jobs/none HTTP/1.1\r\n\r\n", 404, false},
 		{"wrong method", "DELETE /api/jobs HTTP/1.1\r\n\r\n", 405, false},
-		{"wrong method for reports", "GET /checkin HTTP/1.1\r\n\r\n", 405, false},
-		{"garbled report", "POST /checkin HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}", 400, false},
+		{"wrong method for heartbeats", "GET /checkin HTTP/1.1\r\n\r\n", 405, false},
+		{"invalid heartbeat", "POST /checkin HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}", 400, false},
 		{"not a job", "POST /api/jobs HTTP/1.1\r\nContent-Length: 2\r\n\r\n[]", 400, false},
 		{"health", "GET /up HTTP/1.1\r\n\r\n", 200, false},
 	} {
@@ -340,14 +339,14 @@
 		s.Errorf("%s: %d %q", c.name, resp.StatusCode, body)
 	}
 	if c.closes && !resp.Close {
-		s.Errorf("%s: the connection stays open", c.name)
+		s.Errorf("%s: the connection is not closed", c.name)
 	}
 	if !bytes.Contains(body, []byte("error")) && c.status >= 400 {
-		s.Errorf("%s: says nothing: %q", c.name, body)
+		s.Errorf("%s: the body has no error: %q", c.name, body)
 	}
 }
 
-// leader names the leader that a controller knows, and its token.
+// leader returns the name of the leader that a controller knows, and the leader's token.
 func (c *Controller) leader() (string, uint64) {
 	type answer struct {
 		name  string
--- a/internal/controller/links_test.go
+++ b/internal/controller/links_test.go
@@ -21,7 +21,7 @@
 	"github.com/marlwood/marlwood/internal/store"
 )
 
-// testPlatform makes the settings of controller n0 in a zone. The state service and the cloud are at addr.
+// testPlatform returns the settings of controller n0 in a zone. The state service and the cloud are at addr.
 func testPlatform(zone, addr string, siblings ...settings.Sibling) *settings.Platform {
 	return &settings.Platform{
 		Member: "n0", Zone: zone, StateAddr: addr, CloudAddr: addr,
@@ -32,8 +32,8 @@
 	}
 }
 
-// leading makes a term of n0 under token 7 whose peer n1 owns the pool big in zone a.
-// There m1 is up, and a task has been ordered to it that no heartbeat shows yet; it returns the order's id.
+// leading returns a term of n0 under token 7, its peer n1, which owns the pool big in zone a, and the ID of an order.
+// Machine m1 of that pool is up, and the order starts a task on it that no heartbeat shows yet.
 func leading(t testing.TB) (*leaderTerm, *peerProgress, uint64) {
 	t.Helper()
 	operator, err := settings.LoadOperator("")
@@ -71,31 +71,30 @@
 		t.Fatalf("orders %v", orders)
 	}
 	id := orders[len(orders)-1].Id
-	receive(says("first", 7, id, id)) // taken in, and handed over by a call that is under way
+	receive(says("first", 7, id, id)) // n1 has received the order and is sending it to m1 in a direct call
 	return term, peer, id
 }
 
-// says makes an answer of n1 about m1, on which no task is known to run.
+// says returns a response of n1 about m1, on which no task is known to run.
 func says(boot string, token, applied uint64, undecided ...uint64) *peerspb.RoundResponse {
 	return &peerspb.RoundResponse{Token: token, Boot: boot, Applied: applied, Change: applied + 1, Machines: []*peerspb.Machine{{Name: "m1", Addr: "x:1",
 		Kind: &peerspb.Kind{Type: "big", Zone: "a"}, Phase: "current", Session: 1, Seq: applied + 1, NoticeMs: -1, Undecided: undecided}}}
 }
 
-// What a restarted owner says of orders and machines has no effect until the
-// fresh token, whatever else fails meanwhile: a start that its earlier process
-// sent to a worker may still be executed.
-func TestRestartedOwner(t *testing.T) {
+// A restarted owner's reports about orders and machines must have no effect before the fresh token, whatever else
+// fails meanwhile, because a start that its earlier process sent to a worker may still be executed.
+func TestRestartedOwnerIsNotTrusted(t *testing.T) {
 	expired := says("second", 7, 99)
 	expired.Machines[0].Phase = "expired"
 	for _, c := range []struct {
 		name  string
 		steps []*peerspb.RoundResponse // nil: no answer
 	}{
-		{"it takes a later order for the last of all", []*peerspb.RoundResponse{says("second", 7, 99)}},
+		{"it reports a later order as the last of all", []*peerspb.RoundResponse{says("second", 7, 99)}},
 		{"a message goes unanswered first", []*peerspb.RoundResponse{nil, says("second", 7, 99)}},
-		{"several do", []*peerspb.RoundResponse{nil, nil, nil, says("second", 7, 99)}},
-		{"it restarts once more", []*peerspb.RoundResponse{says("third", 7, 0), says("third", 7, 99)}},
-		{"it calls a machine expired that it has not heard of", []*peerspb.RoundResponse{expired}},
+		{"several messages go unanswered first", []*peerspb.RoundResponse{nil, nil, nil, says("second", 7, 99)}},
+		{"it restarts again", []*peerspb.RoundResponse{says("third", 7, 0), says("third", 7, 99)}},
+		{"it reports a machine as expired that has sent it no heartbeat", []*peerspb.RoundResponse{expired}},
 	} {
 		term, peer, id := leading(t)
 		for _, resp := range append([]*peerspb.RoundResponse{says("second", 7, 0)}, c.steps...) {
@@ -106,15 +105,15 @@
 			term.handleRoundResponse(peer, 7, time.Now(), resp, err)
 			term.scheduler.ConfirmExpiries(time.Now(), time.Now().Add(time.Second))
 			if term.scheduler.Jobs().At("j").Bound() != 1 {
-				t.Fatalf("%s: a start that may come late counts as decided", c.name)
+				t.Fatalf("%s: a start that may still be executed counts as decided", c.name)
 			}
 		}
 		if !peer.restarted {
-			t.Errorf("%s: no fresh token is wanted", c.name)
+			t.Errorf("%s: the owner does not count as restarted", c.name)
 		}
 		term.tokenRenewed(8, time.Now())
 		if peer.restarted {
-			t.Errorf("%s: a fresh token leaves its orders lost", c.name)
+			t.Errorf("%s: the owner still counts as restarted under a fresh token", c.name)
 		}
 		boot := peer.bootID
 		term.handleRoundResponse(peer, 8, time.Now(), says(boot, 8, id), nil)
@@ -124,28 +123,28 @@
 	}
 }
 
-// Every answer's clock reading may be the beginning of a delegated lease, also that of a
-// process which has just started.
-func TestLeasesAreCounted(t *testing.T) {
+// The clock reading in every answer may be the start of a delegated lease, also in the first answer of a process. If
+// that one is not counted, the leader considers the lease expired while the process still answers under it.
+func TestEveryAnswerCountsAsLeaseStart(t *testing.T) {
 	for _, boot := range []string{"first", "second"} {
 		term, peer, _ := leading(t)
 		peer.leaseEnd = time.Time{}
 		before := time.Now()
 		term.handleRoundResponse(peer, 7, before, &peerspb.RoundResponse{Token: 7, Boot: boot, ClockNs: 5}, nil)
 		if peer.ownerClock != 5 || peer.leaseEnd.Before(before.Add(term.ctrl.timing.DelegatedLease)) {
-			t.Errorf("answer of process %s: a grant until %v counts as over %v after it", boot, term.ctrl.timing.DelegatedLease, peer.leaseEnd.Sub(before))
+			t.Errorf("answer of process %s: a delegated lease of %v counts as expired %v after it", boot, term.ctrl.timing.DelegatedLease, peer.leaseEnd.Sub(before))
 		}
 	}
 }
 
-// A process takes no part in rounds before it has read the leader key, and
-// then in none under an earlier token.
-func TestRoundsBeforeALook(t *testing.T) {
+// A process answers no message of a round before it has read the leader key, and after that it rejects messages
+// under an earlier token than that of the key.
+func TestRoundsNeedKnownLeaderKey(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		stamp uint64 // of the key at the first look; 0: no look yet
-		token uint64 // told by the answer; 0: no answer
-	}{{"no look yet", 0, 0}, {"a later leader has the key", 9, 9}, {"this leader has it", 7, 7}} {
+		stamp uint64 // revision of the leader key when first read; 0: not read yet
+		token uint64 // token in the response; 0: no response
+	}{{"key not read yet", 0, 0}, {"a later leader holds the key", 9, 9}, {"the sender holds the key", 7, 7}} {
 		term, _, _ := leading(t)
 		ctrl, err := New(term.ctrl.cfg, term.ctrl.fileSettings, slog.New(slog.DiscardHandler))
 		if err != nil {
@@ -172,7 +171,7 @@
 	}
 }
 
-// heldPeer answers a message when the test provides the answer.
+// heldPeer is a Peer that answers a message when the test provides the answer.
 type heldPeer struct{ answer chan *peerspb.RoundResponse }
 
 func (p heldPeer) Round(context.Context, *peerspb.RoundRequest) (*peerspb.RoundResponse, error) {
@@ -180,12 +179,12 @@
 }
 func (heldPeer) Close() error { return nil }
 
-// An answer to a term that has ended does not free the connection for the next term, which
-// has a message of its own under way there.
-func TestLinkIsFreedByItsOwnTerm(t *testing.T) {
+// An answer to a message of an ended term must not free the connection for the next term, which already has a message
+// in flight on it. Otherwise two messages could be answered in the wrong order.
+func TestOnlyOwnTermFreesConnection(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		next bool // another term has begun meanwhile
+		next bool // whether another term begins before the answer arrives
 		busy bool
 	}{{"the same term", false, false}, {"the next term", true, true}} {
 		term, peer, _ := leading(t)
@@ -203,24 +202,24 @@
 		held.answer <- &peerspb.RoundResponse{Token: 7, Boot: peer.bootID}
 		(<-ctrl.env.(*liveEnvironment).events)()
 		if peer.inFlight != c.busy {
-			t.Errorf("%s: the link is busy: %v", c.name, peer.inFlight)
+			t.Errorf("%s: message in flight: %v", c.name, peer.inFlight)
 		}
 	}
 }
 
-// After all controllers ended together, the first one back does not own every pool while
-// its peers start; a peer that does not come delays nothing for long, and a leader
-// that has run for a while waits for nobody.
-func TestOwnersAwaitSiblings(t *testing.T) {
+// After all controllers ended together, the first one back becomes leader and must not assign itself every pool while
+// its peers are still starting. It waits for a peer that does not come no longer than peerStartWait, and a leader that
+// has run for a while does not wait at all.
+func TestInitialOwnersWaitForPeers(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		uptime   time.Duration
-		after    time.Duration // deadline the sibling answers; 0: it does not
+		after    time.Duration // when the peer answers; 0: it does not
 		assigned time.Duration
 		owner    string
 	}{
-		{"a sibling starts a moment later", 0, 300 * time.Millisecond, 300 * time.Millisecond, "n1"},
-		{"a sibling stays away", 0, 0, peerStartWait, "n0"},
+		{"a peer starts a moment later", 0, 300 * time.Millisecond, 300 * time.Millisecond, "n1"},
+		{"a peer does not come", 0, 0, peerStartWait, "n0"},
 		{"the leader has run for a while", time.Minute, 300 * time.Millisecond, 0, "n0"},
 	} {
 		term, peer, _ := leading(t)
@@ -236,20 +235,20 @@
 			term.assignInitialOwners(now.Add(d))
 			if !term.assignedAt.IsZero() {
 				if d != c.assigned {
-					t.Errorf("%s: owners are decided after %v, not %v", c.name, d, c.assigned)
+					t.Errorf("%s: owners are assigned after %v, want %v", c.name, d, c.assigned)
 				}
 				break
 			}
 		}
 		if got := term.scheduler.Owners()[model.Pool{Type: "big", Zone: "a"}]; got != c.owner {
-			t.Errorf("%s: the kind in the sibling's zone goes to %s", c.name, got)
+			t.Errorf("%s: the pool in the peer's zone is assigned to %s", c.name, got)
 		}
 	}
 }
 
-// A takeover waits for machines without heartbeats no longer than an existing machine
-// would take to send one: what the cloud lists no more is terminated then.
-func TestMissingAtTakeover(t *testing.T) {
+// A takeover waits for a machine without heartbeats only as long as an existing machine may take to send one. After
+// that the leader terminates the machines that the cloud no longer lists.
+func TestTakeoverTerminatesUnlistedMachines(t *testing.T) {
 	term, _, _ := leading(t)
 	now := time.Now()
 	term = newLeaderTerm(term.ctrl, 9, now)
@@ -266,13 +265,13 @@
 	list := []autoscaler.CloudMachine{{Name: "m1", Pool: model.Pool{Type: "big", Zone: "a"}, Age: time.Minute}}
 	after := newLeaderUnheard(term.ctrl.cfg)
 	if missing := term.scheduler.ReconcileList(now.Add(after/2), list); len(missing) > 0 {
-		t.Errorf("after %v %v are returned, which may not have had their turn", after/2, missing)
+		t.Errorf("after %v %v are terminated, which may still send their first heartbeat", after/2, missing)
 	}
 	if missing := term.scheduler.ReconcileList(now.Add(after+time.Millisecond), list); len(missing) != 100 || slices.Contains(missing, "m1") {
-		t.Errorf("after %v %v are returned, not a hundred of those that the cloud lists no more", after, missing)
+		t.Errorf("after %v %v are terminated, want 100 of the machines that the cloud no longer lists", after, missing)
 	}
-	// The leader reconciles the last list again then, though the owners were assigned only later
-	// than the term began.
+	// The leader reconciles the deferred list again at that time, although the owners were assigned only after the
+	// term began.
 	term = newLeaderTerm(term.ctrl, 10, now)
 	term.loaded, term.machineRecords = true, machinerecords.New(machinerecords.Options{MaxOps: 4, MaxValueBytes: 1024, MaxTxnBytes: 4096}, 10)
 	term.scheduler.Load(now.Add(200*time.Millisecond), scheduler.StoredRecords{Machines: records})
@@ -280,14 +279,14 @@
 	term.cloudCalls.deferredList, term.nextFleet, term.rounds.next, term.cloudCalls.inFlight = list, now.Add(time.Hour), now.Add(time.Hour), true
 	for d := 700 * time.Millisecond; term.cloudCalls.deferredList != nil; d += tick {
 		if d > after+time.Second {
-			t.Fatalf("the list is not looked at again after %v", d)
+			t.Fatalf("the deferred list is not reconciled after %v", d)
 		}
 		term.tick(now.Add(d))
 	}
 	if len(term.cloudCalls.queue) != 2 {
-		t.Errorf("%d calls to the cloud wait, two are to return 121 machines", len(term.cloudCalls.queue))
+		t.Errorf("%d cloud calls queued, want 2 to terminate 121 machines", len(term.cloudCalls.queue))
 	}
 	if long := 2*term.ctrl.cfg.ReportEvery + 2*time.Second; after >= long {
-		t.Errorf("that is %v, no sooner than %v", after, long)
+		t.Errorf("the wait for missing machines is %v, want less than %v", after, long)
 	}
 }
--- a/internal/controller/peer_progress.go
+++ b/internal/controller/peer_progress.go
@@ -6,48 +6,48 @@
 	"github.com/marlwood/marlwood/internal/peers/peerspb"
 )
 
-// livePeerAge is how long after its last answer a peer still counts as live.
+// livePeerAge is how long a peer counts as live after its last answer.
 const livePeerAge = 2 * time.Second
 
-// redialAfterFailures is after how many messages without an answer, in a row, a peer's connection is
+// redialAfterFailures is the number of consecutive messages without an answer after which a peer's connection is
 // replaced.
 const redialAfterFailures = 5
 
-// peerProgress is what the leader records about one controller, itself included: what the
-// controller last answered, what it has acknowledged under the present fencing token, and until when
-// the leases given to it last. It belongs to the loop.
+// peerProgress is the leader's record of one controller, itself included: the controller's last answer, whether it
+// has acknowledged the current fencing token, and when the leases delegated to it expire. It belongs to the loop.
 type peerProgress struct {
 	member string
 	zone   string
 	addr   string
-	local  bool // this controller itself, which is called without a connection
-	peer   Peer // nil: local
+	local  bool // whether this is the leader itself, which is called without a connection
+	peer   Peer // nil if local
 
-	bootID         string    // of the process that answered last; empty: none has
-	ownerClock     int64     // its clock in its last answer
+	bootID         string    // boot ID of the process that answered last; empty if none has
+	ownerClock     int64     // reading of its clock in its last answer
 	lastChange     uint64    // last change of its registry that the scheduler has applied
-	lastAnswer     time.Time // its last answer
-	answeringSince time.Time // answers without a gap since
-	inFlight       bool      // a message to it has neither been answered nor failed
-	failures       int       // messages in a row that brought no answer
+	lastAnswer     time.Time // when its last answer arrived
+	answeringSince time.Time // when its current series of answers without a gap began
+	inFlight       bool      // whether a message to it has neither been answered nor failed
+	failures       int       // number of consecutive messages without an answer
 
-	acknowledged     bool      // has answered under the present token
-	acknowledgedAt   time.Time // when it first did
-	restarted        bool      // restarted under the present token: its orders are lost, and a fresh token is wanted
-	earlierLeasesEnd time.Time // when every lease given under an earlier token has expired for sure
-	leaseEnd         time.Time // when the last lease given to it has expired for sure
+	acknowledged     bool      // whether it has answered under the current token
+	acknowledgedAt   time.Time // when it first answered under the current token
+	restarted        bool      // restarted under the current token: its orders are lost and a fresh token is needed
+	earlierLeasesEnd time.Time // when every lease delegated to it under an earlier token has certainly expired
+	leaseEnd         time.Time // when the last lease delegated to it has certainly expired
 
 	sizes          sentSizes
-	settingsNumber uint64 // of the settings that it has adopted
+	settingsNumber uint64 // number of the settings that it has adopted
 	recordFormat   uint32 // highest format of stored records that it reads
 }
 
-// live tells whether the controller has answered lately.
+// live reports whether the controller is the leader itself or has answered within livePeerAge.
 func (p *peerProgress) live(now time.Time) bool {
 	return p.local || now.Sub(p.lastAnswer) < livePeerAge
 }
 
-// beginTerm resets the record for a new term, before which leases given by earlier leaders end.
+// beginTerm resets the record for a new term. The leases that earlier leaders delegated have expired by
+// earlierLeasesEnd.
 func (p *peerProgress) beginTerm(earlierLeasesEnd time.Time) {
 	p.resetAcknowledgement()
 	p.inFlight = false
@@ -55,8 +55,8 @@
 	p.leaseEnd = earlierLeasesEnd
 }
 
-// renewToken resets the record for a renewed token of the same term: what the controller was told
-// under the earlier one no longer counts, but for the lease. A restart is dealt with by the renewal.
+// renewToken resets the record for a renewed token of the same term. Of what was sent to the controller under the
+// earlier token only the lease still counts. The renewal also handles a restart of the controller.
 func (p *peerProgress) renewToken() {
 	p.resetAcknowledgement()
 	p.earlierLeasesEnd = p.leaseEnd
@@ -69,11 +69,11 @@
 	p.sizes.reset()
 }
 
-// recordAnswer records what every answer tells, whatever process gave it and under whichever token.
+// recordAnswer records the contents that count in every answer, whichever process sent it and under whichever token.
 //
-// Guard: the next message gives a lease from this clock reading on, whether or not it
-// is answered. Not counted for a process that had just started, the lease was
-// held to be over while that process still answered under it (TestLeasesAreCounted).
+// Guard: the next message delegates a lease that starts at this clock reading, whether or not the message is
+// answered. When the lease was not counted for a process that had just started, the leader considered it
+// expired while that process still answered under it (TestEveryAnswerCountsAsLeaseStart).
 func (p *peerProgress) recordAnswer(now time.Time, response *peerspb.RoundResponse, leaseEnd time.Time) {
 	if !p.live(now) {
 		p.answeringSince = now
@@ -86,8 +86,8 @@
 	p.leaseEnd = leaseEnd
 }
 
-// recordBoot records that another process answers than before: the first that this leader hears of,
-// or one that was restarted.
+// recordBoot records that a different process than before has answered: the first one that this leader
+// receives an answer from, or a restarted one.
 func (p *peerProgress) recordBoot(now time.Time, bootID string) {
 	if p.bootID != "" {
 		p.answeringSince = now
@@ -98,7 +98,7 @@
 	p.sizes.reset()
 }
 
-// recordAcknowledgement records that the controller has answered under the present token.
+// recordAcknowledgement records that the controller has answered under the current token.
 func (p *peerProgress) recordAcknowledgement(now time.Time) {
 	if !p.acknowledged {
 		p.acknowledged = true
@@ -106,8 +106,8 @@
 	}
 }
 
-// recordFailure records that a message brought no answer, and tells whether the connection is to be
-// replaced: a network cut may have left it hanging.
+// recordFailure records that a message got no answer, and reports whether the connection must be replaced, since a
+// network partition may have left it hanging.
 func (p *peerProgress) recordFailure() (redial bool) {
 	p.failures++
 	return p.failures%redialAfterFailures == 0 && !p.local
--- a/internal/controller/rounds.go
+++ b/internal/controller/rounds.go
@@ -13,46 +13,46 @@
 )
 
 const (
-	// roundTimeout is how long a sampling round waits for the controllers that have not answered.
+	// roundTimeout is how long a sampling round waits for controllers that have not answered.
 	roundTimeout = 500 * time.Millisecond
-	// storeCheckAge is how old the last check of the leader key may be for the leader to tell its
+	// storeCheckAge is the maximum age of the last check of the leader key at which the leader reports to its
 	// peers that it reaches the state service.
 	storeCheckAge = 2500 * time.Millisecond
 )
 
-// errLeaseExpired tells that the leader lease expired before a message went out.
-var errLeaseExpired = errors.New("controller: no right to act any more")
+// errLeaseExpired means that the leader lease expired before a message was sent.
+var errLeaseExpired = errors.New("controller: leader lease has expired")
 
-// samplingRounds are the rounds of messages by which the leader talks to all controllers: each carries
-// a lease, orders and requests for samples of free machines.
+// samplingRounds schedules the rounds in which the leader sends a message to every controller. A message carries
+// a delegated lease, orders and requests for samples of free machines.
 type samplingRounds struct {
 	next    time.Time      // when the next one starts
 	last    time.Time      // when the last one started
-	current *samplingRound // nil: none is under way
+	current *samplingRound // the round in progress; nil if there is none
 }
 
-// samplingRound is one round under way.
+// samplingRound is one round in progress.
 type samplingRound struct {
 	began   time.Time
-	waiting map[*peerProgress]bool // those that have not answered
+	waiting map[*peerProgress]bool // controllers that have not answered
 	samples []*peerspb.Sample
 }
 
-// received records that a controller answered or can't be asked.
+// received records that the round need not wait for a controller: it answered, or no message can be sent to it.
 func (r *samplingRounds) received(peer *peerProgress) {
 	if r.current != nil {
 		delete(r.current.waiting, peer)
 	}
 }
 
-// startRoundSoon requests a round as soon as the least pause allows.
+// startRoundSoon schedules the next round as early as the minimum interval between rounds allows.
 func (t *leaderTerm) startRoundSoon() {
 	if at := t.rounds.last.Add(t.ctrl.settings.Placement.Round); at.Before(t.rounds.next) {
 		t.rounds.next = at
 	}
 }
 
-// advanceRounds finishes a round that has waited for too long and starts one that is due.
+// advanceRounds finishes a round that has waited too long and starts a round that is due.
 func (t *leaderTerm) advanceRounds(now time.Time) {
 	if t.rounds.current != nil && now.Sub(t.rounds.current.began) > roundTimeout {
 		t.finishRound(now)
@@ -62,8 +62,8 @@
 	}
 }
 
-// startRound starts a round: leases, orders and requests for samples to every controller without a
-// message under way.
+// startRound starts a round: it sends leases, orders and requests for samples to every controller without a
+// message in flight.
 func (t *leaderTerm) startRound(now time.Time) {
 	t.rounds.last = now
 	t.rounds.next = now.Add(t.ctrl.settings.Placement.Heartbeat)
@@ -92,7 +92,7 @@
 	}
 }
 
-// finishRound places tasks by the samples that came and sends the orders.
+// finishRound places tasks on the sampled machines and sends the resulting orders.
 func (t *leaderTerm) finishRound(now time.Time) {
 	samples := t.rounds.current.samples
 	t.ctrl.metrics.Round(metrics.Samples, now.Sub(t.rounds.current.began))
@@ -109,12 +109,12 @@
 	if placed > 0 {
 		t.ctrl.log.Debug("placed", "tasks", placed)
 		t.startRoundSoon()
-		t.writeJobs(now) // gangs wait for their claims
+		t.writeJobs(now) // a gang starts only after its claim is stored
 	}
 	t.sendPendingOrders(now)
 }
 
-// sendPendingOrders sends orders to the controllers that have some and no message under way.
+// sendPendingOrders sends pending orders to their controllers, except those with a message in flight.
 func (t *leaderTerm) sendPendingOrders(now time.Time) {
 	for _, peer := range t.ctrl.peers {
 		if !peer.inFlight && !peer.restarted && len(t.scheduler.Orders(peer.member)) > 0 {
@@ -126,8 +126,8 @@
 // sendRound sends one message to a controller.
 func (t *leaderTerm) sendRound(peer *peerProgress, now time.Time, wants []*peerspb.Want) {
 	if !t.ctrl.elector.HoldsLease(now) {
-		// Guard: answers still come in after the leader lease has expired, and
-		// must not lead to another delegated lease or order.
+		// Guard: answers still arrive after the leader lease has expired, and must not lead to another delegated
+		// lease or order.
 		t.rounds.received(peer)
 		return
 	}
@@ -139,7 +139,7 @@
 	t.deliver(peer, now, request)
 }
 
-// roundRequest makes the message for a controller out of what the leader knows of it.
+// roundRequest builds the message for a controller from its record.
 func (t *leaderTerm) roundRequest(peer *peerProgress, now time.Time, wants []*peerspb.Want) *peerspb.RoundRequest {
 	ctrl := t.ctrl
 	request := &peerspb.RoundRequest{
@@ -157,18 +157,18 @@
 	if peer.bootID == "" {
 		return request
 	}
-	// The lease is given on the owner's own clock, counted from a moment
-	// before its last answer reached us.
+	// The lease is expressed on the owner's own clock and starts at the clock reading in the owner's last answer,
+	// which was made before the answer arrived here.
 	if !peer.restarted || t.mayKeepAlive(peer.member, now) {
 		request.GrantUntilNs = peer.ownerClock + int64(ctrl.timing.DelegatedLease)
 	}
 	request.Owners = t.ownerMessages(now)
 	if peer.restarted {
-		// Its machines' tasks were acknowledged to its earlier process.
+		// Its earlier process got the acknowledgements of its machines' tasks.
 		wants, request.Seen = nil, workers.AllChanges
 	} else {
 		request.Orders = t.scheduler.Orders(peer.member)
-		// The owner's reading was made before its answer came.
+		// The owner's clock was read before its answer arrived.
 		request.ViewedNs = peer.ownerClock + int64(ctrl.elector.LastJobsView().Sub(peer.lastAnswer))
 	}
 	request.Sizes = t.unsentSizes(peer, request.Orders)
@@ -176,8 +176,8 @@
 	return request
 }
 
-// ownerMessages lists the owner of each pool, and for pools whose owner is suspected to be unreachable the
-// controllers that their workers may try instead.
+// ownerMessages returns the owner of each pool and, if the owner is suspected to be unreachable, the controllers
+// that the pool's workers may try instead.
 func (t *leaderTerm) ownerMessages(now time.Time) (owners []*peerspb.KindOwner) {
 	for pool, member := range t.scheduler.Owners() {
 		owner := &peerspb.KindOwner{Kind: &peerspb.Kind{Type: pool.Type, Zone: pool.Zone}, Member: member}
@@ -189,7 +189,7 @@
 	return owners
 }
 
-// sampleRequestsFor selects the requests for samples that concern a pool of one owner.
+// sampleRequestsFor returns the requests for samples that include a pool of the given owner.
 func (t *leaderTerm) sampleRequestsFor(member string, wants []*peerspb.Want) (selected []*peerspb.Want) {
 	owned := func(pool *peerspb.Kind) bool {
 		return t.scheduler.Owners()[model.Pool{Type: pool.Type, Zone: pool.Zone}] == member
@@ -202,7 +202,7 @@
 	return selected
 }
 
-// deliverLocally has this controller's own registry handle a message.
+// deliverLocally passes a message to this controller's own registry and handles the response.
 func (t *leaderTerm) deliverLocally(peer *peerProgress, now time.Time, request *peerspb.RoundRequest) {
 	ctrl := t.ctrl
 	response := ctrl.registry.HandleRound(now, request)
@@ -212,7 +212,7 @@
 	t.handleRoundResponse(peer, request.Token, now, response, nil)
 }
 
-// deliver sends a message to another controller, beside the loop.
+// deliver sends a message to another controller, outside the loop.
 func (t *leaderTerm) deliver(peer *peerProgress, now time.Time, request *peerspb.RoundRequest) {
 	ctrl := t.ctrl
 	peer.inFlight = true
@@ -223,9 +223,9 @@
 			response, err = conn.Round(t.ctx, request)
 		}
 		ctrl.post(func() {
-			// Guard: an answer to an earlier term does not free the connection; two
-			// messages under way at once could be answered in the wrong order
-			// (TestLinkIsFreedByItsOwnTerm).
+			// Guard: an answer to a message of an earlier term does not free the connection. Otherwise two
+			// messages could be in flight at once and be answered in the wrong order
+			// (TestOnlyOwnTermFreesConnection).
 			if t.ctx.Err() != nil {
 				return
 			}
@@ -238,9 +238,9 @@
 	})
 }
 
-// mayKeepAlive tells whether a restarted owner may have a lease before the fresh token, although it gets
-// no orders to stop tasks: for as long as each cancellation of what runs on its machines may take,
-// counted from the last view of the jobs that did not show it.
+// mayKeepAlive reports whether a restarted owner may get a delegated lease before the fresh token, although it gets
+// no orders to stop tasks. It may not if orphaned tasks run on its machines, or if a job with tasks there was cancelled
+// and one leader lease has passed since the last view of the jobs that did not show the cancellation.
 func (t *leaderTerm) mayKeepAlive(member string, now time.Time) bool {
 	jobs, orphaned := t.scheduler.CancelledTasks(member)
 	if orphaned {
@@ -254,7 +254,7 @@
 	return true
 }
 
-// noteCancelled records when the last view of the jobs was requested in which a deleted job still stood.
+// noteCancelled records, for a deleted job, the request time of the last view of the jobs that still showed it.
 func (t *leaderTerm) noteCancelled(job string) {
 	for known := range t.cancelledJobs {
 		if t.scheduler.Jobs().At(known) == nil {
@@ -264,7 +264,7 @@
 	t.cancelledJobs[job] = t.ctrl.elector.LastJobsView()
 }
 
-// handleRoundResponse handles a controller's answer to a message that was sent under a token at sentAt.
+// handleRoundResponse handles a controller's answer to a message that was sent at sentAt under the given token.
 func (t *leaderTerm) handleRoundResponse(peer *peerProgress, token uint64, sentAt time.Time, response *peerspb.RoundResponse, err error) {
 	now := t.ctrl.env.Now()
 	if t.rounds.current != nil {
@@ -298,7 +298,7 @@
 	t.applyRoundResponse(peer, now, sentAt, response)
 }
 
-// handleRoundFailure records that a message brought no answer and replaces the connection now and then.
+// handleRoundFailure records that a message got no answer and replaces the connection after repeated failures.
 func (t *leaderTerm) handleRoundFailure(peer *peerProgress) {
 	if redial := peer.recordFailure(); !redial {
 		return
@@ -309,16 +309,15 @@
 	}
 }
 
-// applyRoundResponse has the scheduler apply an answer under the present token: the machines that
-// changed, the orders that were carried out, and the samples.
+// applyRoundResponse passes an answer under the current token to the scheduler: the machines that changed, the
+// orders that were carried out, and the samples.
 func (t *leaderTerm) applyRoundResponse(peer *peerProgress, now, sentAt time.Time, response *peerspb.RoundResponse) {
 	if !t.loaded || peer.restarted {
-		// Guard: what a restarted owner says of its orders is not to be believed.
-		// It takes later ones for the last of all, so those that its earlier
-		// process had sent to workers counted as decided while they were still on their
-		// way; and a start for a machine that it has not heard of yet made it call
-		// the machine expired. Until the fresh token it has its lease, which keeps
-		// its machines alive, and nothing else (TestRestartedOwner).
+		// Guard: a restarted owner's report about its orders cannot be trusted. The owner reports a later order as
+		// the last of all, so orders that its earlier process had sent to workers counted as decided while they
+		// were still on their way. A start for a machine that had not yet reported to the new process made the
+		// owner report the machine as expired. Until the fresh token the owner gets only its lease, which keeps
+		// its machines alive (TestRestartedOwnerIsNotTrusted).
 		return
 	}
 	if t.rounds.current != nil {
@@ -336,8 +335,8 @@
 	peer.lastChange = max(peer.lastChange, response.Change)
 }
 
-// allSupport tells whether every controller reads a format of stored records. One that
-// was not heard of may be of an earlier version.
+// allSupport reports whether every controller reads a format of stored records. A controller that has not answered
+// yet counts as one that does not, because it may run an earlier version.
 func (t *leaderTerm) allSupport(format uint32) bool {
 	for _, peer := range t.ctrl.peers {
 		if peer.recordFormat < format {
@@ -347,9 +346,9 @@
 	return true
 }
 
-// earlierLeasesExpiry is when every worker's lease that any controller extended under an earlier token
-// has expired for sure: one lease after every controller has acknowledged our token, or after the
-// delegated leases of those that did not have expired.
+// earlierLeasesExpiry returns when every worker's lease that any controller extended under an earlier token has
+// certainly expired. That is one worker's lease after every controller has acknowledged the current token, or its
+// delegated lease under an earlier token has expired if it has not.
 func (t *leaderTerm) earlierLeasesExpiry(_ time.Time) time.Time {
 	last := t.began
 	for _, peer := range t.ctrl.peers {
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -19,7 +19,7 @@
 const (
 	// requestReadTimeout is how long a request may take to arrive.
 	requestReadTimeout = 10 * time.Second
-	// connectionIdleTimeout is how long a connection may rest between requests.
+	// connectionIdleTimeout is how long a connection may be idle between requests.
 	connectionIdleTimeout = 2 * time.Minute
 	// shutdownTimeout is how long the listener may take to stop.
 	shutdownTimeout = time.Second
@@ -31,7 +31,7 @@
 	defer cancel()
 	env, ok := c.env.(*liveEnvironment)
 	if !ok {
-		return errors.New("controller: only a node in the live world listens")
+		return errors.New("controller: Run needs the live environment")
 	}
 	defer env.stop()
 	c.Start(ctx)
@@ -65,7 +65,7 @@
 	return server.Stop(stopCtx)
 }
 
-// registerPeerServices adds the services that other controllers use besides rounds.
+// registerPeerServices registers the services that other controllers use in addition to rounds.
 func (c *Controller) registerPeerServices(registrar grpc.ServiceRegistrar) {
 	record.Register(registrar, c.broadcaster)
 	operators.RegisterRelay(registrar, c.HandleOperatorRequest, c.CheckSettings)
