--- a/internal/controller/election.go
+++ b/internal/controller/election.go
@@ -33,7 +33,7 @@
 	c.publishLease()
 	state := c.elector.State()
 	if state != c.electionState {
-		c.log.Info("leadership", "from", c.electionState.String(), "to", state.String(), "token", c.elector.Token())
+		c.log.Info("leadership state changed", "from", c.electionState.String(), "to", state.String(), "token", c.elector.Token())
 		c.electionState = state
 		c.setBudgets(state == leadership.Leading)
 	}
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -60,8 +60,8 @@
 // heartbeatQueueWait is how long a heartbeat may wait for the loop.
 //
 // Guard: a worker gives up on a heartbeat after four seconds and drops a later answer. When all workers come
-// back at once, the loop would be kept busy by queued heartbeats whose workers have given up and delay the
-// others, for as long as all workers keep retrying (TestLateHeartbeatsAreDropped).
+// back at once, queued heartbeats whose workers have already given up would keep the loop from the other
+// heartbeats, for as long as all workers keep retrying (TestLateHeartbeatsAreDropped).
 const heartbeatQueueWait = 3 * time.Second
 
 // heartbeatAnswer encodes the result of a heartbeat for the worker.
--- a/internal/controller/isolation.go
+++ b/internal/controller/isolation.go
@@ -47,7 +47,8 @@
 	}
 }
 
-// isIsolated reports whether there was no contact with the state service or any peer for isolatedAfter.
+// isIsolated reports whether this controller has had no contact with the state service and none with any peer for
+// isolatedAfter. A controller without peers is never isolated.
 func (c *Controller) isIsolated(uptime time.Duration) bool {
 	return c.contacts.store.age(uptime) > isolatedAfter && c.contacts.peer.age(uptime) > isolatedAfter && len(c.peers) > 1
 }
--- a/internal/controller/leader_term.go
+++ b/internal/controller/leader_term.go
@@ -154,7 +154,7 @@
 	}
 	t.nextSummary = now.Add(summaryInterval)
 	s := t.scheduler.Summary(now)
-	t.ctrl.log.Info("cluster",
+	t.ctrl.log.Info("cluster summary",
 		"machines", s.Machines, "booting", t.scheduler.Booting(), "busy", s.Busy, "retiring", s.ScalingIn,
 		"cpus", s.CPUs, "used", s.Used, "jobs", s.Jobs, "waiting", t.scheduler.WaitingJobs(),
 		"bound", s.Bound, "unplaced", s.Unplaced, "placeable", s.UnmetTasks, "saving", t.scheduler.WritesInFlight())
--- a/internal/controller/owner_reachability.go
+++ b/internal/controller/owner_reachability.go
@@ -74,9 +74,9 @@
 		case owners[at.pool] != at.member || !silent[at.pool]:
 			r.setState(at, ownerReached, now)
 		case reachability.state == ownerSuspected && age >= suspicionSpan:
-			// Guard: machines that have ended send no heartbeats either. While the owner was suspected without a time
-			// limit, its other machines were not redirected to it, and a machine that missed a single answer lost its
-			// lease (TestSurvivorOfHalfAPool).
+			// Guard: machines that have ended send no heartbeats either. As long as the owner was suspected, its other
+			// machines were redirected to other controllers, and a machine that missed a single answer lost its lease
+			// (TestSurvivorOfHalfAPool).
 			r.setState(at, ownerUnconfirmed, now)
 		}
 	}
--- a/internal/controller/ownership.go
+++ b/internal/controller/ownership.go
@@ -76,7 +76,7 @@
 	}
 	t.scheduler.SetOwners(now, owners)
 	t.assignedAt = now
-	t.ctrl.log.Info("owners", "kinds", len(pools), "live", len(live))
+	t.ctrl.log.Info("pool owners assigned", "kinds", len(pools), "live", len(live))
 }
 
 // livePeers returns the live controllers, sorted by name.
--- a/internal/controller/rounds.go
+++ b/internal/controller/rounds.go
@@ -107,7 +107,7 @@
 		t.ctrl.log.Info("takeover complete", "token", t.token, "after", now.Sub(t.began), "machines", t.scheduler.Machines().Len())
 	}
 	if placed > 0 {
-		t.ctrl.log.Debug("placed", "tasks", placed)
+		t.ctrl.log.Debug("tasks placed", "tasks", placed)
 		t.startRoundSoon()
 		t.writeJobs(now) // a gang starts only after its claim is stored
 	}
