--- a/internal/controller/job_parts.go
+++ b/internal/controller/job_parts.go
@@ -9,14 +9,15 @@
 	"github.com/marlwood/marlwood/internal/store"
 )
 
-// partRevisions are the revisions of the shards of jobs' completion bitmaps as last known, by job and
-// shard. A shard that isn't stored has none: its key does not exist.
+// partRevisions maps jobs and the shards of their completion bitmaps to the last known revision of each
+// shard. A shard that is not stored has no entry: its key does not exist. It is not safe for concurrent use.
 //
-// Guard: a write of shards alone does not change the revision of the job's record. Executed late, after a
-// newer one, it replaced newer bitmaps, and the next leader ran tasks once more (TestLatePartIsVoid).
+// Guard: a write that contains only shards does not change the revision of the job's record. When such a
+// write was executed late, after a newer one, it replaced newer bitmaps, and the next leader ran tasks
+// again (TestLateShardWriteKeepsNewerCompletions).
 //
-// A version that doesn't know this writes shards on condition of the record's revision alone; its late
-// writes fail by its fencing token. It is not safe for concurrent use.
+// Versions without these revisions have only the record's revision as a precondition for writing shards;
+// their late writes fail because of their fencing token.
 type partRevisions map[string]map[string]uint64
 
 func (p partRevisions) set(job, part string, revision uint64) {
@@ -36,7 +37,7 @@
 	}
 }
 
-// retain forgets the jobs that are not open.
+// retain removes the jobs that are not open.
 func (p partRevisions) retain(isOpen func(job string) bool) {
 	maps.DeleteFunc(p, func(job string, _ map[string]uint64) bool { return !isOpen(job) })
 }
@@ -48,13 +49,13 @@
 	}
 }
 
-// reread replaces what is known of a job by all its shards as they were read after a write.
+// reread replaces the revisions of a job's shards by those that were read after a write.
 func (p partRevisions) reread(write *placement.JobWrite, items []store.Item) {
 	delete(p, write.ID)
 	p.load(items)
 }
 
-// jobWriteTxn adds a job's write to a transaction that has the leader's precondition.
+// jobWriteTxn adds a job's write to a transaction that already has the leader's precondition.
 func jobWriteTxn(txn store.Txn, write *placement.JobWrite, parts partRevisions) store.Txn {
 	record := placement.JobPrefix + write.ID
 	txn.Preconditions = append(txn.Preconditions, store.Precondition{Key: record, Revision: write.Stamp})
--- a/internal/controller/job_parts_test.go
+++ b/internal/controller/job_parts_test.go
@@ -18,33 +18,34 @@
 	"github.com/marlwood/marlwood/internal/store"
 )
 
-// latePartCase is a write of shards alone that is executed late.
-type latePartCase struct {
+// lateShardWriteCase describes a write that contains only shards and is executed late.
+type lateShardWriteCase struct {
 	name   string
-	stored bool        // the shards are stored already
-	late   int         // before which step it is executed: 0 at once, 1 after the read, 2 after the newer write, 3 after one more
-	newer  [2][]string // the shards of the later writes; the late one has t64 and t128
+	stored bool        // the shards are stored before the write
+	late   int         // when the write is executed: 0 at once, 1 after the reread, 2 after a newer write, 3 after two
+	newer  [2][]string // the shards of the newer writes; the late one has t64 and t128
 }
 
-// A write of shards alone whose answer is lost, executed at once or at any later step, never
-// takes away completions that a later write of the same leader has stored.
-func TestLatePartIsVoid(t *testing.T) {
-	for _, c := range []latePartCase{
-		{"at once, the answer lost", true, 0, [2][]string{{"t64"}, {"t128"}}},
-		{"at once, parts that weren't there", false, 0, [2][]string{{"t64", "t128"}, {"t64"}}},
-		{"between the look and the newer save", true, 1, [2][]string{{"t64"}, {"t128"}}},
-		{"between the look and the newer save, parts that weren't there", false, 1, [2][]string{{"t64"}, {"t128"}}},
-		{"after a newer save of the same parts", true, 2, [2][]string{{"t64", "t128"}, {"t64"}}},
-		{"after a newer save of one of them", true, 2, [2][]string{{"t128"}, {"t64"}}},
-		{"after a newer save that made them", false, 2, [2][]string{{"t64"}, {"t128"}}},
-		{"after two", true, 3, [2][]string{{"t64"}, {"t128"}}},
-		{"after two that made them", false, 3, [2][]string{{"t64"}, {"t128"}}},
+// TestLateShardWriteKeepsNewerCompletions checks that a write that contains only shards never overwrites
+// completions that a later write of the same leader has stored. Its answer is lost, and it is executed at
+// once or at a later step.
+func TestLateShardWriteKeepsNewerCompletions(t *testing.T) {
+	for _, c := range []lateShardWriteCase{
+		{"at once, shards exist", true, 0, [2][]string{{"t64"}, {"t128"}}},
+		{"at once, shards do not exist", false, 0, [2][]string{{"t64", "t128"}, {"t64"}}},
+		{"between reread and newer write, shards exist", true, 1, [2][]string{{"t64"}, {"t128"}}},
+		{"between reread and newer write, shards do not exist", false, 1, [2][]string{{"t64"}, {"t128"}}},
+		{"after a newer write of both shards", true, 2, [2][]string{{"t64", "t128"}, {"t64"}}},
+		{"after a newer write of one shard", true, 2, [2][]string{{"t128"}, {"t64"}}},
+		{"after a newer write that created a shard", false, 2, [2][]string{{"t64"}, {"t128"}}},
+		{"after two newer writes, shards exist", true, 3, [2][]string{{"t64"}, {"t128"}}},
+		{"after two newer writes that created the shards", false, 3, [2][]string{{"t64"}, {"t128"}}},
 	} {
 		t.Run(c.name, c.run)
 	}
 }
 
-func (c latePartCase) run(t *testing.T) {
+func (c lateShardWriteCase) run(t *testing.T) {
 	job := newStoredJob(t, c.stored)
 	lost, txn := job.write("1", "t64", "t128")
 	executeLate := func(step int) {
@@ -53,7 +54,7 @@
 		}
 		out, err := job.kv.Txn(txn)
 		if err != nil || out.Succeeded() != (c.late < 2) {
-			t.Errorf("the late one: %v %v", out, err)
+			t.Errorf("late write: %v %v", out, err)
 		}
 	}
 	executeLate(0)
@@ -72,12 +73,12 @@
 		var got string
 		item, err := job.kv.Get(job.key(name))
 		if err != nil || json.Unmarshal(item.Value, &got) != nil || got != want {
-			t.Errorf("part %s holds %s, %v; stored was %s", name, item.Value, err, want)
+			t.Errorf("shard %s holds %s (error %v), want %s", name, item.Value, err, want)
 		}
 	}
 }
 
-// storedJob is a job in a key-value store, and what its leader knows of it.
+// storedJob is a job in a key-value store, with the revisions that its leader knows.
 type storedJob struct {
 	testing.TB
 	kv       *simulation.Store
@@ -87,13 +88,13 @@
 	parts    partRevisions
 }
 
-// newStoredJob stores a job, with shards if they are to be there.
-func newStoredJob(t testing.TB, withParts bool) *storedJob {
+// newStoredJob stores a job, and its shards if withShards is set.
+func newStoredJob(t testing.TB, withShards bool) *storedJob {
 	t.Helper()
 	j := &storedJob{TB: t, kv: simulation.NewStore(simulation.New(1), 16), id: "req-000412", parts: partRevisions{}}
 	j.token = j.must(store.Txn{Writes: []store.Write{store.Put(leadership.Key, "n0")}})
 	j.revision = j.must(store.Txn{Writes: []store.Write{store.Put(placement.JobPrefix+j.id, "")}})
-	if withParts {
+	if withShards {
 		j.must(store.Txn{Writes: []store.Write{store.Put(j.key("t64"), "0"), store.Put(j.key("t128"), "0")}})
 	}
 	items, _ := j.kv.List(placement.PartPrefix)
@@ -101,7 +102,7 @@
 	return j
 }
 
-// must executes a transaction, and returns its revision.
+// must executes a transaction that must succeed, and returns its revision.
 func (j *storedJob) must(txn store.Txn) uint64 {
 	j.Helper()
 	out, err := j.kv.Txn(txn)
@@ -111,10 +112,10 @@
 	return out.Revision
 }
 
-// key is the key of a shard.
+// key returns the key of a shard.
 func (j *storedJob) key(part string) string { return placement.PartPrefix + j.id + "/" + part }
 
-// write makes a write of a text to some shards, and its transaction.
+// write returns a job write that sets the named shards to text, and its transaction.
 func (j *storedJob) write(text string, names ...string) (*placement.JobWrite, store.Txn) {
 	write := &placement.JobWrite{ID: j.id, Stamp: j.revision, Parts: map[string]string{}}
 	for _, name := range names {
@@ -123,13 +124,13 @@
 	return write, jobWriteTxn(store.Txn{Preconditions: []store.Precondition{{Key: leadership.Key, Revision: j.token}}}, write, j.parts)
 }
 
-// reread reads the shards after a write that failed or was not answered.
+// reread reads the shards after a write that failed or went unanswered.
 func (j *storedJob) reread(write *placement.JobWrite) {
 	items, _ := j.kv.List(j.key(""))
 	j.parts.reread(write, items)
 }
 
-// store executes a write, a second time if the late one came in between.
+// store executes a write, and retries it once if the late write was executed before it.
 func (j *storedJob) store(text string, names ...string) {
 	j.Helper()
 	write, txn := j.write(text, names...)
@@ -145,75 +146,76 @@
 	j.parts.written(write, out.Revision)
 }
 
-// What is known of jobs that are over is forgotten.
-func TestPartsOfOpenJobs(t *testing.T) {
+// TestShardRevisionsOfOpenJobs checks that only the shard revisions of open jobs are kept, and that they
+// become the preconditions of a write.
+func TestShardRevisionsOfOpenJobs(t *testing.T) {
 	p := partRevisions{}
 	p.load([]store.Item{{Key: "part/a/b/t64", Revision: 7}, {Key: "part/c/2", Revision: 8}, {Key: "part/odd", Revision: 9}})
 	if p["a/b"]["t64"] != 7 || p["c"]["2"] != 8 || len(p) != 2 {
-		t.Errorf("loaded %v", p)
+		t.Errorf("loaded revisions %v", p)
 	}
 	p.retain(func(job string) bool { return job == "c" })
 	write := &placement.JobWrite{ID: "c", Stamp: 5, Parts: map[string]string{"2": "", "0": ""}}
 	txn := jobWriteTxn(store.Txn{}, write, p)
 	want := []store.Precondition{{Key: "job/c", Revision: 5}, {Key: "part/c/0"}, {Key: "part/c/2", Revision: 8}}
 	if len(p) != 1 || !slices.Equal(txn.Preconditions, want) || len(txn.Writes) != 2 {
-		t.Errorf("kept %v, guards %v", p, txn.Preconditions)
+		t.Errorf("kept revisions %v, preconditions %v", p, txn.Preconditions)
 	}
 }
 
-// partWrites decides which write of shards alone has no answer: the first one. It is safe for concurrent use.
-type partWrites struct {
+// shardWrites leaves the first write that contains only shards unanswered. It is safe for concurrent use.
+type shardWrites struct {
 	state *standin.State
-	fate  standin.Fate // of that write
+	fate  standin.Fate // of the unanswered write
 
-	mu     sync.Mutex
-	met    []string          // the keys of that write
-	newer  []string          // the keys of writes that followed and have a key in common with it
-	before map[string]uint64 // revisions of the keys before it
+	mu         sync.Mutex
+	unanswered []string          // the keys of the unanswered write
+	newer      []string          // the keys of later writes that share a key with it
+	before     map[string]uint64 // revisions of its keys before it
 }
 
-// decide is the fate of a write of some keys.
-func (w *partWrites) decide(keys []string) standin.Fate {
+// decide returns the fate of a write to keys.
+func (w *shardWrites) decide(keys []string) standin.Fate {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	alone := !slices.ContainsFunc(keys, func(key string) bool { return !strings.HasPrefix(key, placement.PartPrefix) })
+	shardsOnly := !slices.ContainsFunc(keys, func(key string) bool { return !strings.HasPrefix(key, placement.PartPrefix) })
 	switch {
-	case len(w.met) == 0 && len(keys) > 0 && alone:
-		w.met = keys
+	case len(w.unanswered) == 0 && len(keys) > 0 && shardsOnly:
+		w.unanswered = keys
 		for _, key := range keys {
 			w.before[key] = w.state.Revision(key)
 		}
 		return w.fate
-	case slices.ContainsFunc(keys, func(key string) bool { return slices.Contains(w.met, key) }):
+	case slices.ContainsFunc(keys, func(key string) bool { return slices.Contains(w.unanswered, key) }):
 		w.newer = append(w.newer, keys...)
 	}
 	return standin.Answered
 }
 
-// restart waits for another write to leave unanswered: one that nothing followed before its job was over
-// shows nothing.
-func (w *partWrites) restart() {
+// restart selects another write to leave unanswered. A write that no newer write followed before its job
+// ended does not exercise the failure.
+func (w *shardWrites) restart() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.met = nil
+	w.unanswered = nil
 }
 
-// followed reports whether a newer write was sent after the one that has no answer.
-func (w *partWrites) followed() bool {
+// followed reports whether a newer write of the same shards was sent after the unanswered one.
+func (w *shardWrites) followed() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return len(w.newer) > 0
 }
 
-// changed reports whether one of the keys was written after all.
-func (w *partWrites) changed() bool {
+// changed reports whether one of the keys of the unanswered write has been written since.
+func (w *shardWrites) changed() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return slices.ContainsFunc(w.met, func(key string) bool { return w.state.Revision(key) != w.before[key] })
+	return slices.ContainsFunc(w.unanswered, func(key string) bool { return w.state.Revision(key) != w.before[key] })
 }
 
-// newSiteOfHugeArrays makes one whose machines run arrays of thousands of short tasks, and whose state
-// service takes small values only: completions are written in several shards a second.
+// newSiteOfHugeArrays returns a site whose machines run arrays of thousands of short tasks and whose state
+// service accepts only small values, so that completions are written to several shards each second.
 func newSiteOfHugeArrays(t testing.TB) *site {
 	t.Helper()
 	machineType := &standin.Type{Name: "s64", Size: model.Size{CPUs: 64, MemoryGB: 1024}, CacheGB: 50, FetchGBPerS: 100, Price: 1, SpotPrice: 0.4,
@@ -231,27 +233,27 @@
 	})
 }
 
-// A huge array over real sockets whose completions go in several shards a second: a write of shards alone
-// has no answer, and is executed at once, or late after a newer one of the same shard. No completions are
-// lost, and the job goes on to its end.
-func TestPartsUnanswered(t *testing.T) {
+// TestUnansweredShardWrites runs a huge array over real sockets, whose completions are written to several
+// shards each second. One write that contains only shards goes unanswered, and is executed at once, or late
+// after a newer write of the same shard. No completion may be lost, and the job must run to its end.
+func TestUnansweredShardWrites(t *testing.T) {
 	const tasks = 9000
 	for _, c := range []struct {
 		name   string
 		fate   standin.Fate
-		status []int // of what is executed late
-	}{{"carried out at once", standin.Unanswered, nil}, {"late after a newer one", standin.Late, []int{409}}} {
+		status []int // statuses of the writes executed late
+	}{{"executed at once", standin.Unanswered, nil}, {"executed late, after a newer write", standin.Late, []int{409}}} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			s := newSiteOfHugeArrays(t)
-			writes := &partWrites{state: s.state, fate: c.fate, before: map[string]uint64{}}
+			writes := &shardWrites{state: s.state, fate: c.fate, before: map[string]uint64{}}
 			s.state.Fates(writes.decide)
 			isDone := func(id string) bool {
 				_, v := s.ask("GET", "/api/jobs/"+id, "")
 				return done(v)
 			}
-			// How many completions a write holds depends on the machine: jobs follow each other until one
-			// write has followed another.
+			// The number of completions in a write depends on the speed of the computer, so jobs are submitted
+			// until a newer write follows the unanswered one.
 			last := ""
 			for i := 0; !writes.followed(); i++ {
 				writes.restart()
@@ -266,10 +268,10 @@
 				}
 			}
 			for !writes.changed() {
-				time.Sleep(time.Millisecond) // until the newer one is executed
+				time.Sleep(time.Millisecond) // until the newer write is executed
 			}
 			if got := s.state.Deliver(); !slices.Equal(got, c.status) {
-				t.Errorf("executed late: %v", got)
+				t.Errorf("statuses of writes executed late: %v", got)
 			}
 			for !isDone(last) {
 				time.Sleep(20 * time.Millisecond)
