--- a/internal/controller/job_sizes.go
+++ b/internal/controller/job_sizes.go
@@ -7,20 +7,21 @@
 	"github.com/marlwood/marlwood/internal/placement"
 )
 
-// sentSizes are the jobs whose task sizes a peer may hold. A peer needs the size of each job that has
-// tasks on its machines: it offers free capacity by them.
+// sentSizes records the jobs whose task sizes a peer may hold. A peer needs the size of each job that has
+// tasks on its machines to compute the free capacity that it offers.
 type sentSizes struct {
-	jobs      map[string]bool // true: it surely holds the size; false: a message with it was lost
-	bindCount uint64          // tasks that had been bound when jobs was last completed
+	jobs      map[string]bool // true: the size was sent; false: the message with it went unanswered
+	bindCount uint64          // how many tasks had been bound when jobs was last brought up to date
 }
 
-// reset forgets what was sent. The bind count stays.
+// reset clears the sent jobs and keeps the bind count.
 func (s *sentSizes) reset() { s.jobs = map[string]bool{} }
 
-// forget records that a message went unanswered: its sizes are sent again.
+// forget records that a message went unanswered, so that its sizes are sent again.
 //
-// Guard: sent once, in a message that was lost, a size stayed unknown to the owner until a
-// fresh token, and machines that ran tasks of its job were not sampled (TestSizesAreToldAgain).
+// Guard: a size that was sent only once, in a message that was lost, stayed unknown to the owner until
+// a new fencing token, and machines that ran tasks of its job were not sampled
+// (TestUnansweredSizesAreResent).
 func (s *sentSizes) forget(sizes []*peerspb.JobSize) {
 	for _, size := range sizes {
 		s.jobs[size.Job] = false
@@ -28,9 +29,9 @@
 	}
 }
 
-// unsentSizes lists the sizes of jobs that an owner has not been sent yet, and, without a size,
-// jobs that are over, which the owner then forgets. An owner of an earlier version keeps them, with
-// no size; that has no effect, because no task of them is bound.
+// unsentSizes returns the sizes of jobs that have not been sent to an owner yet, and entries without a
+// size for jobs that have ended, which the owner then removes. An owner of an earlier version keeps
+// those jobs with no size, which has no effect because none of their tasks is bound.
 func (t *leaderTerm) unsentSizes(peer *peerProgress, orders []*peerspb.Order) []*peerspb.JobSize {
 	var sizes []*peerspb.JobSize
 	sent := &peer.sizes
@@ -56,11 +57,11 @@
 	return append(sizes, t.removeClosedJobs(sent)...)
 }
 
-// removeClosedJobs removes jobs that are over from the sent sizes and returns the messages that make
-// the owner forget them, in the order of their names.
+// removeClosedJobs removes jobs that have ended from the sent sizes and returns the messages that make
+// the owner remove them, sorted by job name.
 //
-// Guard: sizes of jobs that were over stayed here and at the owner until a fresh token:
-// with four small jobs a second, 14,400 more every hour (TestSizesOfJobsThatAreOver).
+// Guard: sizes of jobs that had ended stayed here and at the owner until a new fencing token: with four
+// small jobs a second, 14,400 more every hour (TestSizesOfEndedJobsAreRemoved).
 func (t *leaderTerm) removeClosedJobs(sent *sentSizes) []*peerspb.JobSize {
 	if len(sent.jobs) <= t.scheduler.Jobs().Len() {
 		return nil
--- a/internal/controller/sizes_test.go
+++ b/internal/controller/sizes_test.go
@@ -16,12 +16,13 @@
 	"github.com/marlwood/marlwood/internal/store"
 )
 
-// Jobs come and go, and every third message is lost, with or before its effect. An owner knows the
-// size of a job that runs, and neither it nor the leader keeps those of jobs that are over.
-func TestSizesOfJobsThatAreOver(t *testing.T) {
+// TestSizesOfEndedJobsAreRemoved checks that an owner knows the size of each running job, and that neither the
+// owner nor the leader keeps the sizes of jobs that have ended. Jobs start and end while the leader gets no
+// answer to one message in three with a new job, and to one in three after a job has ended.
+func TestSizesOfEndedJobsAreRemoved(t *testing.T) {
 	term, peer, _ := leading(t)
 	now := time.Now()
-	owner, most := map[string]bool{}, 0 // an owner's sizes, as workers.Registry keeps them
+	owner, most := map[string]bool{}, 0 // the jobs whose sizes the owner holds, as in workers.Registry
 	send := func(lost bool, orders ...*peerspb.Order) {
 		sizes := term.unsentSizes(peer, orders)
 		for _, s := range sizes {
@@ -47,7 +48,7 @@
 		term.scheduler.ApplyJobChanges(now, []store.Event{{Set: placement.JobPrefix + id, Value: v, Revision: uint64(20 + 2*i)}})
 		send(i%3 == 0, &peerspb.Order{Job: id})
 		if !owner[id] || !owner["j"] {
-			t.Fatalf("after %d jobs the owner knows %v", i, owner)
+			t.Fatalf("after %d jobs the owner holds the sizes of %v", i, owner)
 		}
 		term.scheduler.ApplyJobChanges(now, []store.Event{{Delete: placement.JobPrefix + id, Revision: uint64(21 + 2*i)}})
 		send(i%3 == 1)
@@ -58,27 +59,28 @@
 	}
 }
 
-// lostPeer passes on the message that it got, and answers it or loses the answer.
-type lostPeer struct {
+// lossyPeer records the request that it receives, and either answers it or loses the answer.
+type lossyPeer struct {
 	lost bool
 	got  chan *peerspb.RoundRequest
 }
 
-func (p lostPeer) Round(_ context.Context, r *peerspb.RoundRequest) (*peerspb.RoundResponse, error) {
+func (p lossyPeer) Round(_ context.Context, r *peerspb.RoundRequest) (*peerspb.RoundResponse, error) {
 	p.got <- r
 	if p.lost {
 		return nil, errors.New("lost")
 	}
 	return says("first", r.Token, 1000), nil
 }
-func (lostPeer) Close() error { return nil }
+func (lossyPeer) Close() error { return nil }
 
-// Sizes in a message that went unanswered are sent again until one is answered, and then no more.
-func TestSizesAreToldAgain(t *testing.T) {
+// TestUnansweredSizesAreResent checks that sizes are sent again until a message with them is answered, and
+// not after that.
+func TestUnansweredSizesAreResent(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		lost []bool // of each message
-		want []int  // sentSizes in each
+		want []int  // the number of sizes in each message
 	}{
 		{"answered", []bool{false, false}, []int{1, 0}},
 		{"unanswered", []bool{true, false, false}, []int{1, 1, 0}},
@@ -90,14 +92,14 @@
 		term.ctrl.publishLease()
 		var got []int
 		for _, lost := range c.lost {
-			conn := lostPeer{lost, make(chan *peerspb.RoundRequest, 1)}
+			conn := lossyPeer{lost, make(chan *peerspb.RoundRequest, 1)}
 			peer.peer = conn
 			term.sendRound(peer, time.Now(), nil)
 			(<-term.ctrl.env.(*liveEnvironment).events)()
 			got = append(got, len((<-conn.got).Sizes))
 		}
 		if !slices.Equal(got, c.want) {
-			t.Errorf("%s: told %v sizes, want %v", c.name, got, c.want)
+			t.Errorf("%s: sent %v sizes, want %v", c.name, got, c.want)
 		}
 	}
 }
