--- a/internal/controller/job_watch.go
+++ b/internal/controller/job_watch.go
@@ -9,12 +9,12 @@
 	"github.com/marlwood/marlwood/internal/store"
 )
 
-// watchPause is the pause between two watch requests: several changes then come with one answer.
+// watchPause is the pause between two watch requests, so that one response carries several changes.
 const watchPause = 60 * time.Millisecond
 
-// watchJobs follows the changes of jobs from a revision on, until the term ends. It runs beside the
-// loop. It waits for a change no longer than the interval between two reads of the leader key: the
-// leader lease counts from both.
+// watchJobs follows the changes of jobs from a revision on, until the term ends. It runs outside the
+// event loop. Each request waits for a change no longer than the interval between two reads of the leader
+// key, because the leader lease counts from both the watch and those reads.
 func (t *leaderTerm) watchJobs(revision uint64) {
 	for t.ctx.Err() == nil {
 		sentAt := t.ctrl.env.Now()
@@ -51,13 +51,14 @@
 	}
 }
 
-// observeJobs records that all jobs are known as of a request that was sent at sentAt.
+// observeJobs records that the term knows the state of all jobs as of sentAt, when the request that
+// returned it was sent.
 func (t *leaderTerm) observeJobs(sentAt time.Time) {
 	t.ctrl.elector.ObserveJobs(sentAt)
 	t.ctrl.publishLease()
 }
 
-// resyncJobs has the scheduler apply a whole list of jobs after changes were missed.
+// resyncJobs replaces the scheduler's jobs by a full list after changes were missed.
 func (t *leaderTerm) resyncJobs(jobs []store.Item) {
 	t.scheduler.ReplaceJobs(t.ctrl.env.Now(), jobs)
 	t.partRevisions.retain(t.isOpen)
@@ -65,7 +66,7 @@
 	t.startRoundSoon()
 }
 
-// applyChanges has the scheduler apply changes of jobs.
+// applyChanges applies changes of jobs to the scheduler.
 func (t *leaderTerm) applyChanges(events []store.Event) {
 	for _, event := range events {
 		job, deleted := strings.CutPrefix(event.Delete, placement.JobPrefix)
@@ -83,7 +84,7 @@
 	t.startRoundSoon()
 }
 
-// isOpen tells whether a job is known and neither over nor cancelled.
+// isOpen reports whether a job is known and has neither ended nor been cancelled.
 func (t *leaderTerm) isOpen(job string) bool {
 	state := t.scheduler.Jobs().At(job)
 	return state != nil && !state.Cancelled
--- a/internal/controller/job_writes.go
+++ b/internal/controller/job_writes.go
@@ -9,7 +9,8 @@
 	"github.com/marlwood/marlwood/internal/store"
 )
 
-// writeRetryWait is the pause before the scheduler learns that a write of a job failed, and may repeat it.
+// writeRetryWait is the pause before the failure of a job's write is reported to the scheduler, which may
+// then retry it.
 const writeRetryWait = 200 * time.Millisecond
 
 // writeJobs stores the progress of jobs.
@@ -17,10 +18,10 @@
 	maxParts := min(t.ctrl.cfg.TxnOps-1, maxTxnBytes/t.ctrl.cfg.WideValueBytes-1)
 	for _, write := range t.scheduler.DueWrites(now, max(1, maxParts)) {
 		txn := jobWriteTxn(t.newTxn(), write, t.partRevisions)
-		// Guard: with small jobs coming fast, recording that each begins took a third of what the leader
-		// may write, and recording that it is done waited behind that.
+		// Guard: when small jobs arrived fast, recording the start of each took a third of the leader's write
+		// budget, and the records of their completion waited behind those writes.
 		txn.LowPriority = write.DisplayOnly()
-		if len(txn.Writes) == 0 { // all of it stands in parts already
+		if len(txn.Writes) == 0 { // everything is stored in shards already
 			t.scheduler.WriteDone(now, write, recordpb.SaveDone_STORED, 0, nil)
 			continue
 		}
@@ -28,19 +29,19 @@
 	}
 }
 
-// jobWriteResult is what became of a write of a job.
+// jobWriteResult is the result of a write of a job.
 type jobWriteResult struct {
 	stored    bool
 	err       error // of the transaction
 	revision  uint64
-	jobClosed bool         // the job had ended or was cancelled before
-	current   *store.Item  // the job's record as it stands; nil: not read
-	parts     []store.Item // the shards of its completion bitmap as they stand
-	partsRead bool         // whether parts tells what is stored
+	jobClosed bool         // the job had ended or been cancelled before the write
+	current   *store.Item  // the job's current record; nil: not read
+	parts     []store.Item // the current shards of its completion bitmap
+	partsRead bool         // parts has been read
 }
 
-// commitJobWrite commits the write of a job and reads the job again if it did not succeed. It runs beside the
-// loop.
+// commitJobWrite commits the write of a job. If the transaction fails its preconditions or its outcome is
+// unknown, it reads the job again. It runs outside the event loop.
 func (t *leaderTerm) commitJobWrite(write *placement.JobWrite, txn store.Txn) {
 	result, err := t.commit(txn)
 	stored := err == nil && result.Succeeded()
@@ -58,7 +59,8 @@
 	})
 }
 
-// rereadJobWrite reads what is stored of a job whose write failed its preconditions or went unanswered.
+// rereadJobWrite reads the stored record and shards of a job whose write failed its preconditions or went
+// unanswered.
 func (t *leaderTerm) rereadJobWrite(write *placement.JobWrite, done *jobWriteResult) {
 	done.jobClosed, done.current = t.rereadJob(write.ID)
 	if len(write.Parts) > 0 && !done.jobClosed {
@@ -68,8 +70,8 @@
 	}
 }
 
-// rereadJob reads the record of a job, or whether the job is over.
-func (t *leaderTerm) rereadJob(job string) (over bool, current *store.Item) {
+// rereadJob reads the record of a job. If there is none, it checks whether the job has ended.
+func (t *leaderTerm) rereadJob(job string) (closed bool, current *store.Item) {
 	item, err := t.ctrl.store.Get(t.ctx, placement.JobPrefix+job)
 	if err == nil {
 		return false, &item
@@ -81,7 +83,7 @@
 	return err == nil, nil
 }
 
-// jobWriteDone has the scheduler apply the result of a write, on the loop.
+// jobWriteDone applies the result of a write to the scheduler. It runs on the event loop.
 func (t *leaderTerm) jobWriteDone(write *placement.JobWrite, done jobWriteResult) {
 	if done.partsRead && t.isOpen(write.ID) {
 		t.partRevisions.reread(write, done.parts)
@@ -91,20 +93,20 @@
 	}
 	t.scheduler.WriteDone(t.ctrl.env.Now(), write, t.jobWriteOutcome(write, done), done.revision, done.current)
 	if write.Claim > 0 && t.rounds.current == nil {
-		t.sendPendingOrders(t.ctrl.env.Now()) // a round under way does it when it ends
+		t.sendPendingOrders(t.ctrl.env.Now()) // otherwise the current round sends them when it ends
 	}
 }
 
-// jobWriteOutcome names the result of a write as the scheduler and recordings know it.
+// jobWriteOutcome converts the result of a write to the outcome that the scheduler and recordings use.
 func (t *leaderTerm) jobWriteOutcome(write *placement.JobWrite, done jobWriteResult) recordpb.SaveDone_Outcome {
 	switch {
 	case done.stored:
 		return recordpb.SaveDone_STORED
 	case errors.Is(done.err, store.ErrTooLarge):
-		t.ctrl.log.Warn("save refused as too large", "job", write.ID, "err", done.err)
+		t.ctrl.log.Warn("job record write rejected as too large", "job", write.ID, "err", done.err)
 		return recordpb.SaveDone_TOO_LARGE
 	case done.jobClosed:
-		t.ctrl.log.Debug("job was over already", "job", write.ID)
+		t.ctrl.log.Debug("job had already ended", "job", write.ID)
 		return recordpb.SaveDone_OVER
 	}
 	return recordpb.SaveDone_FAILED
--- a/internal/controller/loading.go
+++ b/internal/controller/loading.go
@@ -15,24 +15,24 @@
 	"github.com/marlwood/marlwood/internal/store"
 )
 
-// readRetryWait is the pause after a read of the state service that failed.
+// readRetryWait is the pause after a failed read from the state service.
 const readRetryWait = 300 * time.Millisecond
 
-// storedRecords are the records that an earlier leader left.
+// storedRecords holds the records that an earlier leader stored.
 type storedRecords struct {
 	ledger          *machinerecords.Ledger // of the records of machines
 	machines        []store.Item
 	launches        []store.Item
 	parts           []store.Item // shards of jobs' completion bitmaps
-	operatorRecords []store.Item // drains, their fence, and settings
+	operatorRecords []store.Item // drains, their fence record, and settings
 	jobs            []store.Item
-	jobsReadAt      time.Time // when the jobs were requested
-	revision        uint64    // of the jobs; they are watched from there
-	watermark       []byte    // of the accounts; nil: there is none, or none are kept
+	jobsReadAt      time.Time // when the request for the jobs was sent
+	revision        uint64    // of the jobs; the watch starts from it
+	watermark       []byte    // until when usage was last written; nil: not stored, or accounting is off
 }
 
-// recordReader reads the records beside the loop. What it needs of the term it has as of the term's beginning: the
-// loop goes on meanwhile.
+// recordReader reads the records outside the event loop. It holds copies of the fields of the term that it
+// needs, taken at the start of the term, because the event loop keeps running meanwhile.
 type recordReader struct {
 	ctx          context.Context // of the term
 	env          Environment
@@ -43,7 +43,7 @@
 	keepAccounts bool
 }
 
-// newRecordReader returns a reader of the records, as of now.
+// newRecordReader returns a record reader with copies of the term's current fields.
 func (t *leaderTerm) newRecordReader() *recordReader {
 	return &recordReader{
 		ctx:   t.ctx,
@@ -60,8 +60,8 @@
 	}
 }
 
-// loadRecords reads everything that an earlier leader left, until it succeeds or the term ends. It
-// runs beside the loop.
+// loadRecords reads all records that an earlier leader stored, and retries until it succeeds or the term
+// ends. It runs outside the event loop.
 func (t *leaderTerm) loadRecords(reader *recordReader) {
 	for reader.ctx.Err() == nil {
 		records, err := reader.read()
@@ -83,7 +83,7 @@
 	}
 }
 
-// read reads the records once. The jobs come last: they are watched from their revision.
+// read reads the records once. It reads the jobs last, because the watch starts from their revision.
 func (r *recordReader) read() (records storedRecords, err error) {
 	if records.ledger, err = r.machineLedger(); err != nil {
 		return records, err
@@ -118,7 +118,7 @@
 	return ledger, nil
 }
 
-// machineItems returns a record for each machine, as if each had one of its own.
+// machineItems returns one record for each machine, also for machines that share a group record.
 func machineItems(ledger *machinerecords.Ledger) (machines []store.Item) {
 	for _, machine := range ledger.Machines() {
 		write := store.Put(machinerecords.SinglePrefix+machine.Name, machine.Registration)
@@ -127,20 +127,20 @@
 	return machines
 }
 
-// watermark reads until when usage was last written. Without it nothing is counted for the time
-// between leaders.
+// watermark returns the stored record of the time until which usage was last written, or nil. Without it,
+// no usage is counted for the time between leaders.
 func (r *recordReader) watermark() []byte {
 	item, err := r.store.Get(r.ctx, accounting.WatermarkKey)
 	if err != nil {
 		if !errors.Is(err, store.ErrNotFound) {
-			r.log.Warn("usage watermark not read", "err", err)
+			r.log.Warn("cannot read the usage watermark", "err", err)
 		}
 		return nil
 	}
 	return item.Value
 }
 
-// applyRecords begins the term's work with the records that were read.
+// applyRecords loads the records into the scheduler and starts the term's work.
 func (t *leaderTerm) applyRecords(records storedRecords) {
 	now := t.ctrl.env.Now()
 	t.machineRecords = records.ledger
@@ -163,7 +163,7 @@
 	t.ctrl.env.Go(func() { t.watchJobs(records.revision) })
 }
 
-// applyOperatorRecords adopts what operators recorded and returns the drains.
+// applyOperatorRecords applies the settings and drains that operators stored, and returns the drains.
 func (t *leaderTerm) applyOperatorRecords(items []store.Item) (drains []store.Item) {
 	for _, item := range items {
 		switch {
--- a/internal/controller/machine_records.go
+++ b/internal/controller/machine_records.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	// maxGroupBytes bounds a record of many machines: to add one, all of it is written.
+	// maxGroupBytes bounds a group record, because adding a machine rewrites the whole record.
 	maxGroupBytes = 4 << 10
 	// maxExpiredRecords is how many records of expired machines are looked up at once.
 	maxExpiredRecords = 64
-	// machineWriteRetryWait is the pause after a write of machine records that was refused.
+	// machineWriteRetryWait is the pause after a refused write of machine records.
 	machineWriteRetryWait = 300 * time.Millisecond
 )
 
-// writeMachineRecords writes the records that must precede a machine's first start and removes those
-// of machines that were terminated or have expired. One transaction is under way at a time.
+// writeMachineRecords writes the records that must be stored before a machine's first task starts, and
+// removes those of machines that were terminated or have expired. One transaction is in flight at a time.
 func (t *leaderTerm) writeMachineRecords(now time.Time) {
 	t.registerMachines(now)
 	if t.machineRecords.Phase() != machinerecords.Idle {
@@ -38,8 +38,8 @@
 	t.ctrl.env.Go(func() { t.commitMachineRecords(txn) })
 }
 
-// registerMachines registers machines that have no record yet. The scheduler learns at once of
-// those that turn out to have one.
+// registerMachines registers machines that have no record yet. Machines that already have one in the
+// ledger are reported to the scheduler at once.
 func (t *leaderTerm) registerMachines(now time.Time) {
 	recorded := map[uint64][]string{} // by the record's revision
 	for name, machine := range t.scheduler.UnreconciledMachines() {
@@ -54,15 +54,15 @@
 	t.markRecorded(now, recorded)
 }
 
-// markRecorded tells the scheduler which machines have a record, by the record's revision.
+// markRecorded reports to the scheduler which machines have a record, by the record's revision.
 func (t *leaderTerm) markRecorded(now time.Time, recorded map[uint64][]string) {
 	for revision, names := range recorded {
 		t.scheduler.MachinesRecorded(now, names, revision)
 	}
 }
 
-// machineRecordsTxn makes the transaction of changes out of one that has the leader's precondition.
-// Each change has the revision of its record as a precondition.
+// machineRecordsTxn adds changes to a transaction that already has the leader's precondition. Each change
+// adds the revision of its record as a precondition.
 func machineRecordsTxn(txn store.Txn, changes []machinerecords.Change) store.Txn {
 	for _, change := range changes {
 		write := store.Delete(change.Key)
@@ -75,7 +75,7 @@
 	return txn
 }
 
-// commitMachineRecords commits changes of machine records. It runs beside the loop.
+// commitMachineRecords commits changes of machine records. It runs outside the event loop.
 func (t *leaderTerm) commitMachineRecords(txn store.Txn) {
 	result, err := t.commit(txn)
 	refused := errors.Is(err, store.ErrRefused)
@@ -91,14 +91,15 @@
 			t.machineRecordsDone(t.machineRecords.TxnRejected(errors.Is(err, store.ErrTooLarge)))
 		default:
 			keys := t.machineRecords.TxnAmbiguous()
-			t.ctrl.log.Debug("records of machines are read again", "keys", keys, "err", err, "failed", result.Failed)
+			t.ctrl.log.Debug("rereading machine records after a failed or unanswered transaction",
+				"keys", keys, "err", err, "failed", result.Failed)
 			t.ctrl.env.Go(func() { t.rereadMachineRecords(keys) })
 		}
 	})
 }
 
-// rereadMachineRecords reads the records of machines that a transaction may have changed. It runs beside
-// the loop.
+// rereadMachineRecords reads the machine records that a transaction may have changed. It runs outside the
+// event loop.
 func (t *leaderTerm) rereadMachineRecords(keys []string) {
 	var items []store.Item
 	for i := 0; i < len(keys) && t.ctx.Err() == nil; {
@@ -118,15 +119,15 @@
 			return
 		}
 		stored, removed, err := t.machineRecords.Reread(machineRecordItems(items))
-		if err != nil { // another version's, or damaged: nothing starts on machines without a record
-			t.ctrl.log.Error("cannot decode the records of machines", "err", err)
+		if err != nil { // written by another version, or damaged; no task starts on a machine without a record
+			t.ctrl.log.Error("cannot decode machine records", "err", err)
 			return
 		}
 		t.machineRecordsDone(stored, removed)
 	})
 }
 
-// machineRecordsDone tells the scheduler which machines have a record now and which have none.
+// machineRecordsDone reports to the scheduler which machines now have a record and which no longer do.
 func (t *leaderTerm) machineRecordsDone(stored, removed []string) {
 	now := t.ctrl.env.Now()
 	recorded := map[uint64][]string{}
@@ -150,7 +151,7 @@
 	}
 }
 
-// machineRecordItems converts stored items to those of the ledger.
+// machineRecordItems converts stored items to the item type of package machinerecords.
 func machineRecordItems(items []store.Item) (converted []machinerecords.Item) {
 	for _, item := range items {
 		converted = append(converted, machinerecords.Item{Key: item.Key, Value: item.Value, Revision: item.Revision})
--- a/internal/controller/record_write.go
+++ b/internal/controller/record_write.go
@@ -9,33 +9,33 @@
 	"github.com/marlwood/marlwood/internal/store"
 )
 
-// writeOutcome is what is known of a transaction that writes or removes one of the operators' records.
+// writeOutcome is the outcome of a transaction that writes or removes an operator record.
 type writeOutcome int
 
 const (
-	// writeCommitted says that the transaction was executed.
+	// writeCommitted means that the transaction was executed.
 	writeCommitted writeOutcome = iota
-	// writeConfirmed says that there was no answer, but that the record was then read as it was to be.
+	// writeConfirmed means that the transaction went unanswered, but a later read found its result.
 	writeConfirmed
-	// writeConflict says that a precondition failed.
+	// writeConflict means that a precondition failed.
 	writeConflict
-	// writeUnknown says that there was no answer, and that the record was not read as it was to be: the
-	// transaction may still be executed.
+	// writeUnknown means that the transaction went unanswered and a later read failed or did not find its
+	// result. The transaction may still be executed.
 	writeUnknown
-	// writeFailed says that the transaction failed for another reason, as a rule without being sent.
+	// writeFailed means that the transaction failed for another reason, usually before it was sent.
 	writeFailed
 )
 
-// recordWrite is the result of a transaction that writes or removes one of the operators' records.
+// recordWrite is the result of a transaction that writes or removes an operator record.
 type recordWrite struct {
 	outcome writeOutcome
-	record  store.Item // as it is stored if it was committed or confirmed; a removed one has no value
-	failed  []string   // keys whose preconditions failed, of a conflict
-	err     error      // of a write that failed or whose outcome is unknown
+	record  store.Item // the stored record, if committed or confirmed; it has no value if it was removed
+	failed  []string   // for a conflict, the keys whose preconditions failed
+	err     error      // for a write that failed or whose outcome is unknown
 }
 
-// resolveWrite tells what became of a transaction whose main write is given. If there was no answer it
-// reads the record back. It runs outside the loop.
+// resolveWrite returns the result of a transaction whose main write is given. If the transaction went
+// unanswered, it reads the record back. It runs outside the event loop.
 func (t *leaderTerm) resolveWrite(write store.Write, result store.TxnResult, err error) recordWrite {
 	record := store.Item{Key: cmp.Or(write.Set, write.Delete), Value: write.Value, Revision: result.Revision}
 	switch {
@@ -49,7 +49,7 @@
 	return recordWrite{outcome: writeCommitted, record: record}
 }
 
-// readBack reads a record whose write had no answer.
+// readBack reads a record whose write went unanswered, and compares it with the record that was written.
 func (t *leaderTerm) readBack(want store.Item, unanswered error) recordWrite {
 	removal := want.Value == nil
 	stored, err := t.ctrl.store.Get(t.ctx, want.Key)
--- a/internal/controller/record_write_test.go
+++ b/internal/controller/record_write_test.go
@@ -12,7 +12,7 @@
 	"github.com/marlwood/marlwood/internal/store"
 )
 
-// readStore answers every read alike, and counts them.
+// readStore returns the same result for every read, and counts the reads.
 type readStore struct {
 	Store
 	item  store.Item
@@ -25,8 +25,9 @@
 	return s.item, s.err
 }
 
-// What is known of a transaction follows from its answer and, if there was none, from the record as it is
-// read; and so does what an operator is answered, and whether all drains are read again.
+// TestResolveWrite checks the outcome of a transaction for each response of the store, and for each state
+// of the record that is read back after a lost response. The outcome determines the code that the operator
+// receives and whether all drains are read again.
 func TestResolveWrite(t *testing.T) {
 	const key = "ops/drain/zone/a"
 	put, removal := store.Put(key, "x"), store.Delete(key)
@@ -49,27 +50,27 @@
 		outdated bool
 	}{
 		{"committed", put, store.TxnResult{Revision: 7}, nil, unread, writeCommitted, 7, 0, codes.OK, false},
-		{"unanswered, found as written", put, store.TxnResult{}, unanswered, same, writeConfirmed, 9, 1, codes.OK, true},
-		{"unanswered, another one found", put, store.TxnResult{}, unanswered, other, writeUnknown, 0, 1, codes.Unknown, true},
-		{"unanswered, nothing found", put, store.TxnResult{}, unanswered, missing, writeUnknown, 0, 1, codes.Unknown, true},
-		{"unanswered, not read", put, store.TxnResult{}, unanswered, unread, writeUnknown, 0, 1, codes.Unknown, true},
-		{"a removal, nothing found", removal, store.TxnResult{}, unanswered, missing, writeConfirmed, 0, 1, codes.OK, true},
-		{"a removal, found", removal, store.TxnResult{}, unanswered, same, writeUnknown, 0, 1, codes.Unknown, true},
-		{"a conflict", put, store.TxnResult{Failed: []string{key}}, nil, same, writeConflict, 0, 0, codes.Aborted, true},
-		{"another leader", put, store.TxnResult{Failed: []string{leadership.Key}}, nil, same, writeConflict, 0, 0, codes.Unavailable, false},
+		{"unanswered, record found as written", put, store.TxnResult{}, unanswered, same, writeConfirmed, 9, 1, codes.OK, true},
+		{"unanswered, different record found", put, store.TxnResult{}, unanswered, other, writeUnknown, 0, 1, codes.Unknown, true},
+		{"unanswered, no record found", put, store.TxnResult{}, unanswered, missing, writeUnknown, 0, 1, codes.Unknown, true},
+		{"unanswered, read refused", put, store.TxnResult{}, unanswered, unread, writeUnknown, 0, 1, codes.Unknown, true},
+		{"unanswered removal, no record found", removal, store.TxnResult{}, unanswered, missing, writeConfirmed, 0, 1, codes.OK, true},
+		{"unanswered removal, record found", removal, store.TxnResult{}, unanswered, same, writeUnknown, 0, 1, codes.Unknown, true},
+		{"precondition failed", put, store.TxnResult{Failed: []string{key}}, nil, same, writeConflict, 0, 0, codes.Aborted, true},
+		{"precondition failed, another leader", put, store.TxnResult{Failed: []string{leadership.Key}}, nil, same, writeConflict, 0, 0, codes.Unavailable, false},
 		{"refused", put, store.TxnResult{}, refused, same, writeFailed, 0, 0, codes.Unavailable, false},
 		{"too large", put, store.TxnResult{}, store.ErrTooLarge, same, writeFailed, 0, 0, codes.Unavailable, false},
-		{"another error", put, store.TxnResult{}, errors.New("odd"), same, writeFailed, 0, 0, codes.Unknown, false},
+		{"other error", put, store.TxnResult{}, errors.New("odd"), same, writeFailed, 0, 0, codes.Unknown, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			term, _, _ := leading(t)
 			term.ctrl.store = &c.store
 			write := term.resolveWrite(c.write, c.result, c.err)
 			if write.outcome != c.outcome || write.record.Revision != c.revision || c.store.reads != c.reads {
-				t.Errorf("%+v after %d reads", write, c.store.reads)
+				t.Errorf("result %+v after %d reads", write, c.store.reads)
 			}
 			if err := term.drainWriteError(write); code(err) != c.code {
-				t.Errorf("answered %v", err)
+				t.Errorf("the operator receives the error %v", err)
 			}
 			if recordsOutdated(write) != c.outdated {
 				t.Errorf("drains are read again: %v", !c.outdated)
