--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -5,10 +5,10 @@
 	"github.com/marlwood/marlwood/internal/sockets"
 )
 
-// connectionAdmission has the budget of sockets decide which connections the listener accepts.
+// connectionAdmission lets the socket budget decide which connections the listener accepts.
 type connectionAdmission struct{ *sockets.Budget }
 
-// DutyOf tells what a connection is for by a request on it.
+// DutyOf returns the purpose of a connection, which follows from the path of a request on it.
 func (connectionAdmission) DutyOf(req *httpwire.Request) sockets.Duty {
 	switch req.Path {
 	case heartbeatPath:
@@ -19,8 +19,9 @@
 	return sockets.Users
 }
 
-// Spare lists which idle connections are closed first. A worker opens another with its next
-// heartbeat; a connection without a request yet is likely about to be used.
+// Spare lists the purposes of idle connections in the order in which they are closed. Workers come first,
+// because they open a new connection with their next heartbeat. Connections without a request yet come
+// last, because they are likely about to be used.
 func (connectionAdmission) Spare() []sockets.Duty {
 	return []sockets.Duty{sockets.Workers, sockets.Users, sockets.Unknown}
 }
--- a/internal/controller/admission_test.go
+++ b/internal/controller/admission_test.go
@@ -8,8 +8,8 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// While the loop is busy with more heartbeats than it can handle, health checks are still answered and
-// heartbeats beyond the queue are refused; a loop that stands still fails the health check.
+// TestBusyLoop checks that a controller with a full heartbeat queue refuses further heartbeats with a
+// Retry-After and still passes health checks, and that it fails them once its event loop has stalled.
 func TestBusyLoop(t *testing.T) {
 	term, _, _ := leading(t)
 	ctrl := term.ctrl
@@ -25,21 +25,23 @@
 	const heartbeat = `{"berth":"m1","addr":"x:1","hull":"big","yard":"a","shift":1,"tally":1,"baton":7,"pieces":[]}`
 	for range cap(env.heartbeats) {
 		if status, _ := ask("POST", "/checkin", heartbeat); status != -1 {
-			t.Fatalf("a report is answered %d before the loop has it", status)
+			t.Fatalf("a heartbeat is answered with status %d before the event loop handled it", status)
 		}
 	}
 	if status, retry := ask("POST", "/checkin", heartbeat); status != 503 || retry < 1 || retry > 3 {
-		t.Errorf("one report too many is answered %d, to come back after %d s", status, retry)
+		t.Errorf("a heartbeat beyond the queue is answered with status %d and Retry-After %d s", status, retry)
 	}
 	if status, _ := ask("GET", "/up", ""); status != 200 {
-		t.Errorf("a health check is answered %d while reports wait", status)
+		t.Errorf("a health check is answered with status %d while heartbeats are queued", status)
 	}
 	ctrl.contacts.tick.set(time.Since(ctrl.startedAt) - 4*time.Second)
 	if status, _ := ask("GET", "/up", ""); status != 503 {
-		t.Errorf("a health check is answered %d although the loop stands still", status)
+		t.Errorf("a health check is answered with status %d although the event loop has stalled", status)
 	}
 }
 
+// TestLateHeartbeatsAreDropped checks that a heartbeat that waited in the queue longer than heartbeatQueueWait
+// is refused.
 func TestLateHeartbeatsAreDropped(t *testing.T) {
 	t.Parallel()
 	term, _, _ := leading(t)
@@ -52,6 +54,6 @@
 	time.Sleep(heartbeatQueueWait + 50*time.Millisecond)
 	(<-env.heartbeats)()
 	if status != 503 {
-		t.Errorf("a report that its worker has given up is answered %d", status)
+		t.Errorf("a heartbeat that waited too long is answered with status %d", status)
 	}
 }
--- a/internal/controller/cloud_calls.go
+++ b/internal/controller/cloud_calls.go
@@ -6,22 +6,22 @@
 	"github.com/marlwood/marlwood/internal/autoscaler"
 )
 
-// How often the machine types are read from the cloud, and how long after it was elected a leader does so
-// first.
+// A leader reads the machine types from the cloud every typesInterval, for the first time firstTypesDelay
+// after its election.
 const (
 	typesInterval   = time.Minute
 	firstTypesDelay = 20 * time.Second
 )
 
-// cloudCalls queues a term's calls to the cloud, of which one is under way at a time, and schedules the
-// reads of machines and types. Only the loop uses it.
+// cloudCalls queues a term's calls to the cloud, of which one is in flight at a time, and schedules the
+// reads of machines and machine types. Only the event loop uses it.
 type cloudCalls struct {
 	queue    []func()
 	inFlight bool
 
-	listing      bool // a list of machines is queued or under way
+	listing      bool // a list of machines is queued or in flight
 	nextList     time.Time
-	deferredList []autoscaler.CloudMachine // the last list that came before all machines could have sent a heartbeat; nil: none
+	deferredList []autoscaler.CloudMachine // the last list from before all machines could report; nil: none
 
 	nextTypes   time.Time
 	typesStored bool // the types are in the key-value store, or too large for it
@@ -31,10 +31,11 @@
 	return cloudCalls{nextTypes: now.Add(firstTypesDelay)}
 }
 
-// enqueue queues a call, which is made outside the loop.
+// enqueue queues a call, which is made outside the event loop.
 func (c *cloudCalls) enqueue(call func()) { c.queue = append(c.queue, call) }
 
-// next removes the first call from the queue, which is then under way until finished; nil: none may be made.
+// next removes the first call from the queue and returns it; the call is in flight until finished is called.
+// It returns nil if the queue is empty or a call is in flight.
 func (c *cloudCalls) next() func() {
 	if c.inFlight || len(c.queue) == 0 {
 		return nil
@@ -45,10 +46,10 @@
 	return call
 }
 
-// finished records that the call under way has returned.
+// finished records that the call in flight has returned.
 func (c *cloudCalls) finished() { c.inFlight = false }
 
-// startList reports whether the machines are to be listed now. If so, they are again after an interval.
+// startList reports whether the machines must be listed now. If so, it schedules the next list after interval.
 func (c *cloudCalls) startList(now time.Time, interval time.Duration) bool {
 	if now.Before(c.nextList) || c.listing {
 		return false
@@ -57,7 +58,8 @@
 	return true
 }
 
-// startTypes reports whether the machine types are to be read now. If so, they are again after typesInterval.
+// startTypes reports whether the machine types must be read now. If so, it schedules the next read after
+// typesInterval.
 func (c *cloudCalls) startTypes(now time.Time) bool {
 	if now.Before(c.nextTypes) {
 		return false
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -10,11 +10,11 @@
 	"github.com/marlwood/marlwood/internal/store"
 )
 
-// dependencyCheckInterval is how often the outcomes of jobs that others depend on are checked unless a job
-// has changed.
+// dependencyCheckInterval is how often the outcomes of jobs that others depend on are checked. A change of
+// any job triggers a check at once.
 const dependencyCheckInterval = time.Second
 
-// resolveDependencies releases or cancels jobs whose dependencies have ended, and has the scheduler raise
+// resolveDependencies releases or cancels jobs whose dependencies have ended. The scheduler also raises
 // the priority of jobs that others wait for.
 func (t *leaderTerm) resolveDependencies(now time.Time) {
 	check := !now.Before(t.nextCheck)
@@ -30,7 +30,7 @@
 	}
 }
 
-// checkOutcome reads how a job ended. It runs outside the loop.
+// checkOutcome reads how a job ended. It runs outside the event loop.
 func (t *leaderTerm) checkOutcome(id string) {
 	var final placement.FinalJobRecord
 	item, err := t.ctrl.store.Get(t.ctx, placement.DonePrefix+id)
@@ -44,14 +44,14 @@
 	})
 }
 
-// moveJob releases or cancels a waiting job. It runs outside the loop. The scheduler learns of a released
-// job from the watch, like of every other.
+// moveJob releases or cancels a waiting job. It runs outside the event loop. The scheduler receives a
+// released job through the watch, like every other job.
 func (t *leaderTerm) moveJob(action dag.Action) {
 	result, err := t.commit(t.moveTxn(action))
 	ok := err == nil && result.Succeeded()
 	var revision uint64
 	gone := false
-	if !ok && (err == nil || errors.Is(err, store.ErrUnknown)) { // only reading it tells
+	if !ok && (err == nil || errors.Is(err, store.ErrUnknown)) { // only a read shows whether the job still waits
 		item, readErr := t.ctrl.store.Get(t.ctx, placement.WaitPrefix+action.ID)
 		gone = errors.Is(readErr, store.ErrNotFound)
 		revision = item.Revision
@@ -67,7 +67,7 @@
 	})
 }
 
-// moveTxn makes the transaction that moves a waiting job to the open ones or to those that have ended.
+// moveTxn returns the transaction that moves a waiting job to the open jobs or to the ended jobs.
 func (t *leaderTerm) moveTxn(action dag.Action) store.Txn {
 	txn := t.newTxn(store.Delete(placement.WaitPrefix + action.ID))
 	txn.Preconditions = append(txn.Preconditions, store.Precondition{Key: placement.WaitPrefix + action.ID, Revision: action.Revision})
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// pipelineJob is a submission of a job that depends on others.
+// pipelineJob returns the submission of a job that depends on others.
 func pipelineJob(id string, tasks int, dependencies ...string) string {
 	list := "[]"
 	if len(dependencies) > 0 {
@@ -16,15 +16,15 @@
 	return strings.Replace(job(id, "batch", tasks), `"pieces"`, `"awaits":`+list+`,"pieces"`, 1)
 }
 
-// stageOf asks for the stage of a job.
+// stageOf queries the stage of a job.
 func (s *site) stageOf(id string) string {
 	_, v := s.ask("GET", "/api/jobs/"+id, "")
 	return fmt.Sprint(v["stage"])
 }
 
-// A diamond of jobs over real sockets, while the state service's limits fall and
-// the leader is lost: no job begins before those that it depends on are done, and a
-// cancellation reaches all that depend on the cancelled one, those submitted later too.
+// TestPipelines runs a diamond of dependent jobs over real sockets while the state service lowers its
+// limits and the leader is stopped. No job starts before its dependencies are done, and a cancellation
+// reaches all direct and indirect dependents, including those submitted later.
 func TestPipelines(t *testing.T) {
 	s := newSite(t)
 	submit := func(body string) {
@@ -40,59 +40,60 @@
 	submit(pipelineJob("c", 2, "a"))
 	submit(pipelineJob("d", 2, "b", "c", "b"))
 	if status, _ := s.ask("POST", "/api/jobs", pipelineJob("x", 1, "a", "unheard")); status != 422 {
-		t.Errorf("a job that was never accepted: %d", status)
+		t.Errorf("a job that depends on an unknown job is answered with status %d", status)
 	}
 	s.state.Limit(2048, 5)
 	s.checkDiamond()
 	if stage := s.stageOf("hopeless2"); stage != "queued" {
-		t.Errorf("hopeless2 is %s", stage)
+		t.Errorf("hopeless2 is in stage %s", stage)
 	}
 	s.checkCancellationSpreads()
 	if broken := s.cloud.Broken(); len(broken) > 0 {
-		t.Errorf("ran twice: %v", broken)
+		t.Errorf("tasks that ran twice: %v", broken)
 	}
 }
 
-// checkDiamond follows the jobs a, b, c and d until they are done, and stops the leader in between.
+// checkDiamond checks the order of the jobs a, b, c and d until d is done, and stops the leader when a is done.
 func (s *site) checkDiamond() {
 	s.Helper()
 	deadline := time.Now().Add(40 * time.Second)
-	lost := false
+	leaderStopped := false
 	for s.stageOf("d") != "done" {
 		if time.Now().After(deadline) {
-			s.Fatalf("a %s, b %s, c %s, d %s", s.stageOf("a"), s.stageOf("b"), s.stageOf("c"), s.stageOf("d"))
+			s.Fatalf("the jobs are not done in time: a %s, b %s, c %s, d %s",
+				s.stageOf("a"), s.stageOf("b"), s.stageOf("c"), s.stageOf("d"))
 		}
 		for _, pair := range []string{"ba", "ca", "db", "dc"} {
 			if later := s.stageOf(pair[:1]); later != "queued" && s.stageOf(pair[1:]) != "done" {
-				s.Fatalf("%s is %s before %s is done", pair[:1], later, pair[1:])
+				s.Fatalf("%s is in stage %s before %s is done", pair[:1], later, pair[1:])
 			}
 		}
-		if !lost && s.stageOf("a") == "done" {
-			lost = true
+		if !leaderStopped && s.stageOf("a") == "done" {
+			leaderStopped = true
 			s.stopLeader()
 		}
 	}
 }
 
-// checkCancellationSpreads cancels the job that others depend on.
+// checkCancellationSpreads cancels a job and checks that its dependents are cancelled too.
 func (s *site) checkCancellationSpreads() {
 	s.Helper()
 	if status, v := s.ask("POST", "/api/jobs/stays/cancel", ""); status != 200 || v["stage"] != "aborted" {
-		s.Fatalf("cancel: %d %v", status, v)
+		s.Fatalf("cancellation is answered with status %d: %v", status, v)
 	}
 	if got := s.stageOf("hopeless2"); got != "aborted" {
-		s.Errorf("after the cancellation hopeless2 is %s", got)
+		s.Errorf("after the cancellation hopeless2 is in stage %s", got)
 	}
 	if _, v := s.ask("POST", "/api/jobs", pipelineJob("hopeless3", 1, "hopeless2", "a")); v["stage"] != "aborted" {
-		s.Errorf("submitted afterwards: %v", v)
+		s.Errorf("a dependent submitted after the cancellation: %v", v)
 	}
-	// Nobody asks about this one: the leader finds it.
+	// No query asks for this job: the leader must cancel it by itself.
 	for deadline := time.Now().Add(10 * time.Second); s.state.Has("job-waiting/hopeless"); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			s.Fatal("the cancellation did not spread")
+			s.Fatal("the leader did not cancel a dependent of the cancelled job")
 		}
 	}
 	if got := s.stageOf("hopeless"); got != "aborted" {
-		s.Errorf("hopeless is %s", got)
+		s.Errorf("hopeless is in stage %s", got)
 	}
 }
--- a/internal/controller/direct_calls.go
+++ b/internal/controller/direct_calls.go
@@ -11,8 +11,8 @@
 	"github.com/marlwood/marlwood/internal/workers"
 )
 
-// makeDirectCalls makes the direct calls to workers that are due, beside the loop: commands that would
-// otherwise wait for the next heartbeat.
+// makeDirectCalls makes the direct calls to workers that are due. They carry commands that would
+// otherwise wait for the next heartbeat. The calls run outside the event loop.
 func (c *Controller) makeDirectCalls(now time.Time) {
 	for _, call := range c.registry.DueCalls(now) {
 		c.env.Go(func() {
@@ -30,11 +30,11 @@
 	}
 }
 
-// sendDirectCall sends one direct call and classifies its outcome. It runs beside the loop.
+// sendDirectCall sends one direct call and classifies its outcome. It runs outside the event loop.
 func (c *Controller) sendDirectCall(call workers.Call) (workers.CallOutcome, *model.Heartbeat) {
 	ctx, cancel := context.WithTimeout(c.ctx, c.fileSettings.Service.DirectCall)
 	defer cancel()
-	if !c.env.Now().Before(call.Until) { // the process stood still meanwhile
+	if !c.env.Now().Before(call.Until) { // the lease expired before the call was sent, as when the process was suspended
 		return workers.Refused, nil
 	}
 	commands := model.DirectCommands{Token: call.Token, Session: call.Epoch, Commands: call.Commands}
--- a/internal/controller/scaling.go
+++ b/internal/controller/scaling.go
@@ -9,14 +9,15 @@
 	"github.com/marlwood/marlwood/internal/store"
 )
 
-// runAutoscaler plans scaling out and in, and queues the calls to the cloud that follow.
+// runAutoscaler plans scaling out and in, and queues the resulting calls to the cloud.
 func (t *leaderTerm) runAutoscaler(now time.Time) {
 	before := t.scheduler.Thrash()
 	actions := t.scheduler.Plan(now)
 	after := t.scheduler.Thrash()
 	t.ctrl.metrics.Churn(after.Unused-before.Unused, after.Loops-before.Loops)
 	if after.Loops > before.Loops {
-		t.ctrl.log.Warn("machines are rented that were just returned unused", "unused", after.Unused, "loops", after.Loops)
+		t.ctrl.log.Warn("machines requested again soon after being returned unused",
+			"unused", after.Unused, "loops", after.Loops)
 	}
 	for _, action := range actions {
 		switch {
@@ -36,7 +37,7 @@
 	}
 }
 
-// runCloudCalls makes the next call to the cloud unless one is under way.
+// runCloudCalls makes the next call to the cloud unless one is in flight.
 func (t *leaderTerm) runCloudCalls() {
 	call := t.cloudCalls.next()
 	if call == nil {
@@ -48,8 +49,8 @@
 	})
 }
 
-// storeLaunchRecord stores that instances are about to be requested: a leader that finds the record
-// resolves a request whose outcome is unknown.
+// storeLaunchRecord stores a record of a launch request before the request is sent. If the outcome of the
+// request stays unknown, a later leader that finds the record resolves it.
 func (t *leaderTerm) storeLaunchRecord(request autoscaler.LaunchRequest) {
 	txn := t.newTxn(store.Put(autoscaler.LaunchPrefix+request.Name, request))
 	t.ctrl.env.Go(func() {
@@ -59,7 +60,7 @@
 }
 
 // launch requests instances, and removes the record of the request once its outcome is known. It runs
-// outside the loop.
+// outside the event loop.
 func (t *leaderTerm) launch(request autoscaler.LaunchRequest) {
 	result, names := autoscaler.Unknown, []string(nil)
 	if t.ctrl.holdsLease() {
@@ -77,8 +78,8 @@
 	})
 }
 
-// deleteLaunchRecord removes the record of a request. One that is left behind is resolved again by the
-// next leader.
+// deleteLaunchRecord removes the record of a request. If the removal fails, the next leader resolves the
+// request again.
 func (t *leaderTerm) deleteLaunchRecord(name string) {
 	txn := t.newTxn(store.Delete(autoscaler.LaunchPrefix + name))
 	t.ctrl.env.Go(func() {
@@ -88,7 +89,7 @@
 	})
 }
 
-// terminate terminates instances. It runs outside the loop.
+// terminate terminates instances. It runs outside the event loop.
 func (t *leaderTerm) terminate(names []string) {
 	err := errLeaseExpired
 	if t.ctrl.holdsLease() {
@@ -109,7 +110,7 @@
 	})
 }
 
-// listMachines lists the machines that the cloud runs. It runs outside the loop.
+// listMachines lists the machines that run in the cloud. It runs outside the event loop.
 func (t *leaderTerm) listMachines() {
 	machines, err := t.ctrl.cloud.List(t.ctx)
 	t.ctrl.post(func() {
@@ -124,15 +125,16 @@
 	})
 }
 
-// allCouldReport reports whether every machine that is there has had the time for a heartbeat to its owner.
+// allCouldReport reports whether every existing machine has had the time to send a heartbeat to its owner.
 //
-// Guard: that time counts from when the owners are known, not from the start of the term. Counted from
-// the start, the list was reconciled a moment too early, and the next one came seven seconds later.
+// Guard: that time counts from when the owners are known, not from the start of the term. When it counted
+// from the start, the list was reconciled a moment too early, and the next list came seven seconds later.
 func (t *leaderTerm) allCouldReport(now time.Time) bool {
 	return now.Sub(t.assignedAt) > newLeaderUnheard(t.ctrl.cfg)+tick
 }
 
-// reconcileDeferredList reconciles a list that came too early once more when all machines could report.
+// reconcileDeferredList reconciles a list once more that came before all machines could have sent a
+// heartbeat, as soon as they could.
 func (t *leaderTerm) reconcileDeferredList(now time.Time) {
 	if t.cloudCalls.deferredList != nil && t.allCouldReport(now) {
 		t.reconcileList(now, t.cloudCalls.deferredList)
@@ -140,19 +142,19 @@
 	}
 }
 
-// reconcileList has the scheduler compare the cloud's list with its machines, and queues the termination
-// of those that it names: each call takes as many as the cloud accepts.
+// reconcileList compares the cloud's list with the scheduler's machines, and queues the termination of
+// the machines that the scheduler returns. Each call terminates as many as the cloud accepts.
 //
-// Guard: only one call's worth used to be terminated for each list. After a leader was lost while it
-// scaled in, takeovers waited for the rest until the next list.
+// Guard: each list used to lead to only one terminate call. After a leader was lost while it scaled in,
+// takeovers had to wait for the next list before the remaining machines were terminated.
 func (t *leaderTerm) reconcileList(now time.Time, machines []autoscaler.CloudMachine) {
 	for unwanted := t.scheduler.ReconcileList(now, machines); len(unwanted) > 0; unwanted = t.scheduler.ReconcileList(now, machines) {
-		t.ctrl.log.Info("missing or failed machines", "machines", unwanted)
+		t.ctrl.log.Info("terminating missing or failed machines", "machines", unwanted)
 		t.cloudCalls.enqueue(func() { t.terminate(unwanted) })
 	}
 }
 
-// refreshTypes reads the machine types from the cloud. It runs outside the loop.
+// refreshTypes reads the machine types from the cloud. It runs outside the event loop.
 func (t *leaderTerm) refreshTypes() {
 	catalogue, err := t.ctrl.cloud.Types(t.ctx)
 	if err != nil {
@@ -175,7 +177,7 @@
 		result, err := t.commit(txn)
 		t.ctrl.post(func() {
 			t.cloudCalls.typesStored = err == nil && result.Succeeded()
-			if errors.Is(err, store.ErrTooLarge) { // controllers learn the types from the cloud alone
+			if errors.Is(err, store.ErrTooLarge) { // controllers can then read the types only from the cloud
 				t.cloudCalls.typesStored = true
 				t.ctrl.log.Warn("machine types are too large to be stored", "err", err)
 			}
--- a/internal/controller/types.go
+++ b/internal/controller/types.go
@@ -10,15 +10,16 @@
 // typesKey holds the machine types for controllers that cannot reach the cloud.
 const typesKey = "types"
 
-// The pauses of learnTypes: between tries until the types are known, growing from the first to the
-// longest, and between refreshes afterwards. Each is drawn between half and one and a half times.
+// The pauses of learnTypes. The pause between attempts starts from firstTypesRetry and doubles with each
+// failure up to longestTypesRetry; after a successful read the pause is typesRefresh. Each pause is drawn
+// at random between 0.5 and 1.5 times its length.
 const (
 	firstTypesRetry   = 200 * time.Millisecond
 	longestTypesRetry = 5 * time.Second
 	typesRefresh      = time.Minute
 )
 
-// knownTypes returns the machine types; nil: they are not known yet. It may be called from anywhere.
+// knownTypes returns the machine types, or nil if they are not known yet. It is safe for concurrent use.
 func (c *Controller) knownTypes() map[string]model.MachineType {
 	if p := c.machineTypes.Load(); p != nil {
 		return *p
@@ -26,8 +27,8 @@
 	return nil
 }
 
-// learnTypes reads the machine types until the controller ends, often until they are known. It runs
-// beside the loop.
+// learnTypes reads the machine types periodically until the controller stops, and more often until they
+// are known. It runs outside the event loop.
 func (c *Controller) learnTypes() {
 	wait := firstTypesRetry
 	for c.ctx.Err() == nil {
@@ -43,7 +44,8 @@
 	}
 }
 
-// readTypes reads the machine types from the state service, or else from the cloud.
+// readTypes reads the machine types from the state service, and from the cloud if the state service
+// does not have them.
 func (c *Controller) readTypes() (catalogue model.Catalogue, err error) {
 	item, err := c.store.Get(c.ctx, typesKey)
 	if err == nil {
@@ -55,7 +57,7 @@
 	return catalogue, nil
 }
 
-// setTypes has all parts of the controller use new machine types.
+// setTypes replaces the machine types that the controller, its registry and its scheduler use.
 func (c *Controller) setTypes(types map[string]model.MachineType) {
 	c.machineTypes.Store(&types)
 	c.registry.SetTypes(types)
