--- a/internal/controller/known_test.go
+++ b/internal/controller/known_test.go
@@ -16,17 +16,17 @@
 	"github.com/marlwood/marlwood/internal/standin"
 )
 
-// answeredWithin is how long after the last fault each job must be known again.
+// answeredWithin is the time limit, after the last fault, within which a query about each job must succeed.
 const answeredWithin = 75 * time.Second
 
-// jobs is how many jobs there are, and askers how many users query them at once.
-const jobs, askers = 5000, 96
+// jobs is the number of jobs, and concurrentUsers the number of users that query them concurrently.
+const jobs, concurrentUsers = 5000, 96
 
-// eachJob does something for every job, for many at once.
+// eachJob calls do for every job, for up to concurrentUsers jobs at a time.
 func eachJob(do func(n int)) {
 	var group sync.WaitGroup
 	var next atomic.Int64
-	for range askers {
+	for range concurrentUsers {
 		group.Go(func() {
 			for n := next.Add(1); n <= jobs; n = next.Add(1) {
 				do(int(n))
@@ -36,8 +36,9 @@
 	group.Wait()
 }
 
-// openMany submits the jobs; all but one wait for the limit.
-func openMany(s *site) {
+// submitJobs submits the jobs, and one more that runs to its end. The quota of the jobs' team allows only one
+// of them to run; the others stay queued.
+func submitJobs(s *site) {
 	s.ask("POST", "/api/jobs", job("first", "batch", 1))
 	eachJob(func(n int) {
 		body := strings.Replace(job(fmt.Sprintf("req-%d", n), "standing", 1), `"t"`, `"small"`, 1)
@@ -48,7 +49,7 @@
 	s.until("first", done)
 }
 
-// isHealthy makes a health check of a controller.
+// isHealthy reports whether a controller passes its health check.
 func (s *site) isHealthy(i int) bool {
 	resp, err := client.Get("http://" + s.addrs[i] + "/up")
 	if err == nil {
@@ -57,7 +58,7 @@
 	return err == nil && resp.StatusCode == http.StatusOK
 }
 
-// healthy lists the controllers that are healthy.
+// healthy returns the indexes of the controllers that pass their health check.
 func (s *site) healthy() (healthy []int) {
 	for i := range 3 {
 		if s.isHealthy(i) {
@@ -67,25 +68,26 @@
 	return healthy
 }
 
-// checkCutOff checks that a controller without the state service says so soon, and answers at once.
-func (s *site) checkCutOff(i int, since time.Time) {
+// checkIsolated checks that a controller that has lost the state service soon fails its health check, and
+// still answers queries without delay.
+func (s *site) checkIsolated(i int, since time.Time) {
 	s.Helper()
 	for s.isHealthy(i) {
 		if time.Since(since) > 20*time.Second {
-			s.Fatal("a controller without the state service calls itself well")
+			s.Fatal("a controller without the state service still passes its health check")
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
 	sent := time.Now()
 	if resp, err := client.Get("http://" + s.addrs[i] + "/api/jobs/first"); err != nil || time.Since(sent) > 3*time.Second {
-		s.Errorf("a question there: %v, %v after %v", resp, err, time.Since(sent))
+		s.Errorf("a query to the isolated controller: %v, %v after %v", resp, err, time.Since(sent))
 	} else if _ = resp.Body.Close(); resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get("Retry-After") == "" {
-		s.Error("a question there is refused without a time to come back")
+		s.Error("the isolated controller refuses a query without Retry-After")
 	}
 }
 
-// queryBalanced queries a job as by a load balancer that has not noticed the unhealthy controllers now
-// and then, and tells whether it is answered.
+// queryBalanced queries a job through a simulated load balancer that sends one query in twenty to any
+// controller, whether healthy or not. It reports whether the query succeeded.
 func (s *site) queryBalanced(healthy []int, n int) bool {
 	i := healthy[n%len(healthy)]
 	if rand.IntN(20) == 0 {
@@ -102,24 +104,25 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// awaitEveryJob queries each job until the query is answered, which must be in time after the trouble is over.
-func (s *site) awaitEveryJob(over time.Time, query func(n int) bool) {
+// awaitEveryJob queries each job until a query succeeds. It fails the test if a job has no answer
+// answeredWithin after faultEnd.
+func (s *site) awaitEveryJob(faultEnd time.Time, query func(n int) bool) {
 	s.Helper()
 	eachJob(func(n int) {
 		for !query(n) {
-			if time.Since(over) > answeredWithin {
-				s.Errorf("no question about req-%d is answered", n)
+			if time.Since(faultEnd) > answeredWithin {
+				s.Errorf("no query about req-%d succeeded in time", n)
 				return
 			}
 		}
 	})
 }
 
-// Thousands of jobs are open when the leader ends and another controller loses the state
-// service for good. That one answers at once and says that it is not healthy; users whom the
-// load balancer sends by that have an answer about every single job in time, beside ten times the
-// usual queries.
-func TestEveryJobIsKnown(t *testing.T) {
+// TestJobQueriesAfterLeaderLoss checks job queries when, with thousands of open jobs, the leader stops and
+// another controller permanently loses the state service. The isolated controller must answer without delay
+// and fail its health check. Users behind a load balancer that follows the health checks must get an answer
+// about every job in time, under ten times the usual query load.
+func TestJobQueriesAfterLeaderLoss(t *testing.T) {
 	var link *standin.Link
 	s := newSite(t, func(i int, cfg *settings.Platform, _ *settings.Operator) {
 		cfg.Teams["small"] = model.Team{Name: "small", Limit: model.Size{CPUs: 2}}
@@ -132,31 +135,31 @@
 			t.Cleanup(func() { _ = l.Close() })
 		}
 	})
-	openMany(s)
+	submitJobs(s)
 
 	link.Cut(true)
 	leader, _ := s.nodes[0].leader()
-	for i := range 2 { // the one that is cut off goes on
+	for i := range 2 { // controller 2, which is isolated, keeps running
 		if fmt.Sprintf("n%d", i) == leader {
 			s.stops[i]()
 		}
 	}
-	over := time.Now()
-	s.checkCutOff(2, over)
+	faultEnd := time.Now()
+	s.checkIsolated(2, faultEnd)
 	healthy := s.healthy()
 	if len(healthy) == 0 || healthy[len(healthy)-1] == 2 {
-		t.Fatalf("well are %v", healthy)
+		t.Fatalf("healthy controllers: %v", healthy)
 	}
-	var asked atomic.Int64
-	s.awaitEveryJob(over, func(n int) bool {
-		asked.Add(1)
+	var queries atomic.Int64
+	s.awaitEveryJob(faultEnd, func(n int) bool {
+		queries.Add(1)
 		return s.queryBalanced(healthy, n)
 	})
-	t.Logf("%d jobs known %v after the trouble, %d questions", jobs, time.Since(over), asked.Load())
+	t.Logf("all %d jobs answered %v after the fault, with %d queries", jobs, time.Since(faultEnd), queries.Load())
 }
 
-// loadWhileSlow queries jobs drawn at random until end, and returns when one of the controllers had read the
-// records as a leader; zero: none had.
+// loadWhileSlow queries random jobs until end. It returns when one of the controllers had read the records
+// as leader, or zero if none had.
 func loadWhileSlow(end time.Time, ask func(n int) int, controllers []*Controller) (led time.Time) {
 	for time.Now().Before(end) {
 		for _, c := range controllers {
@@ -173,21 +176,22 @@
 	return led
 }
 
-// The state service answers up to three seconds late, pages of a listing too, while thousands of jobs
-// are open, and the leader ends meanwhile; so does one of the others, which is restarted and knows
-// nothing. Every query is answered within two seconds, if only by 503, none by 404, and every job
-// is known in time after it. How soon there is a leader is logged, not bounded: that is chance.
-func TestEveryJobIsKnownOfASlowService(t *testing.T) {
+// TestJobQueriesWithSlowStore checks job queries while the state service answers up to three seconds late,
+// including each page of a listing, with thousands of open jobs. Meanwhile the leader stops and another
+// controller restarts with no state. Every query must be answered within two seconds, possibly with 503 but
+// never with 404, and a query about every job must succeed in time after the slowdown. The time until a new
+// leader has loaded the records is logged but not bounded, because it depends on chance.
+func TestJobQueriesWithSlowStore(t *testing.T) {
 	const slow, length, wait = 3 * time.Second, 30 * time.Second, 2 * time.Second
 	s := newSite(t, func(_ int, cfg *settings.Platform, op *settings.Operator) {
 		cfg.Teams["small"] = model.Team{Name: "small", Limit: model.Size{CPUs: 2}}
 		op.Leadership.Hold, op.Leadership.Poll, op.Leadership.Grant = 5*time.Second, time.Second, time.Second
-		cfg.CancelWait = cfg.Lease + 20*time.Second // as much as the deployments leave
+		cfg.CancelWait = cfg.Lease + 20*time.Second // the same margin as in the deployments
 	})
-	openMany(s)
+	submitJobs(s)
 	lead := slices.IndexFunc(s.nodes, func(n *Controller) bool { return n.jobCounts.Load() != nil })
 	if lead < 0 {
-		t.Fatal("nobody leads")
+		t.Fatal("no controller leads")
 	}
 	restarted := (lead + 1) % 3 // the other is (lead+2) % 3
 	s.state.Slow(slow)
@@ -195,13 +199,13 @@
 	s.stops[lead]()
 	s.restart(restarted)
 
-	var known, unsure, restartedKnown atomic.Int64
+	var known, undecided, restartedKnown atomic.Int64
 	ask := func(n int) (status int) {
 		i := (lead + 1 + n%2) % 3
 		sent := time.Now()
 		resp, err := client.Get(fmt.Sprintf("http://%s/api/jobs/req-%d", s.addrs[i], n))
 		if err != nil {
-			time.Sleep(50 * time.Millisecond) // it is not up again yet
+			time.Sleep(50 * time.Millisecond) // the restarted controller does not listen yet
 			return 0
 		}
 		_ = resp.Body.Close()
@@ -209,14 +213,14 @@
 		case resp.StatusCode == http.StatusNotFound:
 			t.Errorf("req-%d is unknown", n)
 		case took > wait:
-			t.Errorf("a question is answered %d after %v", resp.StatusCode, took)
+			t.Errorf("a query is answered with status %d after %v", resp.StatusCode, took)
 		case resp.StatusCode == http.StatusOK:
 			known.Add(1)
 			if i == restarted {
 				restartedKnown.Add(1)
 			}
 		default:
-			unsure.Add(1)
+			undecided.Add(1)
 			time.Sleep(100 * time.Millisecond)
 		}
 		return resp.StatusCode
@@ -227,9 +231,10 @@
 	if !led.IsZero() {
 		ledAfter = led.Sub(began)
 	}
-	t.Logf("while slow: %d known, %d of them by the one that began anew, %d unsure; a leader after %v (0s: none)", known.Load(), restartedKnown.Load(), unsure.Load(), ledAfter)
+	t.Logf("while slow: %d queries answered, %d of them by the restarted controller, %d without a result; a leader after %v (0s: none)",
+		known.Load(), restartedKnown.Load(), undecided.Load(), ledAfter)
 	s.state.Slow(0)
-	over := time.Now()
-	s.awaitEveryJob(over, func(n int) bool { return ask(n) == http.StatusOK })
-	t.Logf("all known %v after it", time.Since(over))
+	faultEnd := time.Now()
+	s.awaitEveryJob(faultEnd, func(n int) bool { return ask(n) == http.StatusOK })
+	t.Logf("all jobs answered %v after the slowdown", time.Since(faultEnd))
 }
--- a/internal/controller/load_test.go
+++ b/internal/controller/load_test.go
@@ -22,14 +22,14 @@
 	"github.com/marlwood/marlwood/internal/workers"
 )
 
-// BenchmarkLoad is a repeatable profile of a controller's processor time and memory by duty: three
-// controllers over loopback, as many machines as the smaller deployments have, jobs that come and go
-// and users' queries.
+// BenchmarkLoad produces a repeatable profile of a controller's CPU time and memory by the purpose of its
+// work. It runs three controllers over loopback, as many machines as the smaller deployments have, jobs
+// that are submitted and finish, and user queries.
 //
 //	go test -run '^$' -bench Load -benchtime 1x -cpuprofile cpu.out -memprofile mem.out ./internal/controller
 //	go tool pprof -top -tagfocus controller controller.test cpu.out
 //
-// It reports the heap that is live at the end, the stand-ins' included, in MB.
+// It reports the live heap at the end in MB, including that of the stand-in services.
 func BenchmarkLoad(b *testing.B) {
 	const machines, users, length = 240, 150, 20 * time.Second
 	for b.Loop() {
@@ -38,11 +38,11 @@
 				Boot: 500 * time.Millisecond, Zones: []string{"a", "b", "c"}, Limit: machines / 6}},
 			Takes: func(_ *model.Job, i int) time.Duration { return time.Duration(4+i%5) * time.Second }},
 			func(_ int, cfg *settings.Platform, op *settings.Operator) {
-				usual, err := settings.LoadOperator("")
+				defaults, err := settings.LoadOperator("")
 				if err != nil {
 					b.Fatal(err)
 				}
-				*op = *usual
+				*op = *defaults
 				cfg.StateRPS, cfg.StateWriteRPS, cfg.CloudRPS, cfg.MemoryMB, cfg.MaxConns = 120, 25, 3, 54, 600
 			})
 		var group sync.WaitGroup
@@ -78,9 +78,9 @@
 	}
 }
 
-// What a heartbeat of four running tasks allocates, from its bytes to those of its answer, is
-// bounded: each machine sends one every few seconds, and the garbage collector runs in the same share
-// of a core.
+// TestAllocationsOfAHeartbeat bounds the allocations of a heartbeat with four running tasks, from parsing its
+// bytes to encoding its answer. Each machine sends one every few seconds, and the garbage collector shares
+// the controller's fraction of a core.
 func TestAllocationsOfAHeartbeat(t *testing.T) {
 	term, _, _ := leading(t)
 	var pieces []string
@@ -103,16 +103,17 @@
 	})
 	t.Logf("%v allocations", allocs)
 	if allocs > 60 {
-		t.Errorf("a report takes %v allocations", allocs)
+		t.Errorf("a heartbeat takes %v allocations", allocs)
 	}
 }
 
-// A takeover of half as many machines again as the smaller deployments have, each with sixteen tasks,
-// and of five hundred jobs whose records are as large as they get, fits the smallest limit of memory
-// (54 MB): with the 17 MB that a controller without work holds, its code included, 15 MB are to spare.
+// TestTakeoverFitsMemory checks that a takeover fits into the smallest memory limit, 54 MB. It takes over
+// 1.5 times as many machines as the smaller deployments have, with sixteen tasks each, and five hundred jobs
+// whose records have the maximum size. A controller without work holds 17 MB including its code, which
+// leaves 15 MB to spare.
 func TestTakeoverFitsMemory(t *testing.T) {
 	const machines, jobs, mostMB = 360, 500, 22.0
-	live := func() float64 {
+	liveMB := func() float64 {
 		runtime.GC()
 		runtime.GC()
 		var machine runtime.MemStats
@@ -121,7 +122,7 @@
 	}
 	term, peer, _ := leading(t)
 	draw := rand.New(rand.NewPCG(1, 2))
-	before := live()
+	before := liveMB()
 	var hostItems, jobItems []store.Item
 	answer := says("first", 7, 5)
 	answer.Machines = nil
@@ -137,7 +138,7 @@
 		answer.Machines = append(answer.Machines, machine)
 	}
 	for i := range jobs {
-		set := model.NewTaskSet(100_000) // as many tasks as a job may have, and marks that don't pack
+		set := model.NewTaskSet(100_000) // the maximum number of tasks of a job, with random bits that do not compress
 		for k := range model.PartTasks(8192 - 2048) {
 			if draw.IntN(2) == 0 {
 				set.Add(k)
@@ -152,13 +153,14 @@
 	}
 	term.scheduler.Load(time.Now(), scheduler.StoredRecords{Machines: hostItems, Jobs: jobItems})
 	term.handleRoundResponse(peer, 7, time.Now(), answer, nil)
-	after := live()
+	after := liveMB()
 	runtime.KeepAlive(jobItems)
-	t.Logf("%.1f MB with %d machines and %d jobs, %d bytes a record", after-before, term.scheduler.Machines().Len(), term.scheduler.Jobs().Len(), len(jobItems[0].Value))
+	t.Logf("%.1f MB with %d machines and %d jobs, %d bytes per job record",
+		after-before, term.scheduler.Machines().Len(), term.scheduler.Jobs().Len(), len(jobItems[0].Value))
 	if term.scheduler.Machines().Len() < machines || term.scheduler.Jobs().Len() < jobs {
-		t.Errorf("only %d machines and %d jobs were taken in", term.scheduler.Machines().Len(), term.scheduler.Jobs().Len())
+		t.Errorf("only %d machines and %d jobs were loaded", term.scheduler.Machines().Len(), term.scheduler.Jobs().Len())
 	}
 	if after-before > mostMB {
-		t.Errorf("a takeover holds %.1f MB", after-before)
+		t.Errorf("a takeover holds %.1f MB, more than allowed", after-before)
 	}
 }
--- a/internal/controller/scale_test.go
+++ b/internal/controller/scale_test.go
@@ -16,8 +16,8 @@
 	"github.com/marlwood/marlwood/internal/workers"
 )
 
-// The decoder of heartbeats, chosen for its speed, accepts what the standard library's accepts, and
-// decodes it alike.
+// FuzzReadReport checks that the heartbeat decoder, which was chosen for its speed, accepts the same input as
+// the standard library's decoder, except invalid UTF-8, and decodes it to the same value.
 func FuzzReadReport(f *testing.F) {
 	for _, s := range []string{`{"berth":"m1","addr":"x:1","hull":"g","yard":"a","shift":1,"tally":2,"baton":7,"recallS":1.5,"loaners":true,"pieces":[{"piece":"j/1","try":2,"stage":"running"}]}`,
 		`{"BERTH":"\u00e9\n","shift":1e2}`, `{"pieces":null,"recallS":null}`, `{"pieces":[{"stored":false,"x":[{}]}]} `} {
@@ -26,19 +26,19 @@
 	f.Fuzz(func(t *testing.T, body []byte) {
 		if !utf8.Valid(body) {
 			if _, err := decodeHeartbeat(body); err == nil {
-				t.Fatal("a report that is not UTF-8 is taken")
+				t.Fatal("a heartbeat that is not valid UTF-8 is accepted")
 			}
 			return
 		}
 		var want, got model.Heartbeat
 		wantErr, gotErr := json.Unmarshal(body, &want), fastjson.Unmarshal(body, &got)
 		if (wantErr == nil) != (gotErr == nil) || wantErr == nil && !reflect.DeepEqual(want, got) {
-			t.Errorf("%q is read as %+v (%v), by the standard library as %+v (%v)", body, got, gotErr, want, wantErr)
+			t.Errorf("%q is decoded to %+v (%v), by the standard library to %+v (%v)", body, got, gotErr, want, wantErr)
 		}
 	})
 }
 
-// BenchmarkReport measures a heartbeat without news from its bytes to its answer's: parsed, decoded, checked,
+// BenchmarkReport measures the handling of a heartbeat that reports no change: it is parsed, decoded, checked,
 // handled by the registry and answered.
 func BenchmarkReport(b *testing.B) {
 	for _, tasks := range []int{0, 4, 30} {
@@ -71,7 +71,8 @@
 	}
 }
 
-// A heartbeat is decoded as it was sent, whatever unknown fields it has.
+// TestDecodeHeartbeat checks that a heartbeat with unknown fields is decoded in full, and that malformed
+// heartbeats are rejected.
 func TestDecodeHeartbeat(t *testing.T) {
 	for _, c := range []struct {
 		body string
@@ -90,7 +91,7 @@
 			t.Errorf("%s: %+v, %v", c.body, heartbeat, err)
 		}
 		if err == nil && len(heartbeat.Tasks) > 0 && (heartbeat.Seq != 1<<64-1 || heartbeat.Tasks[0] != (model.TaskStatus{Task: "j/1", Attempt: 9, State: model.TaskExited, Cause: model.CauseDone, Saved: true})) {
-			t.Errorf("%s is read as %+v", c.body, heartbeat)
+			t.Errorf("%s is decoded to %+v", c.body, heartbeat)
 		}
 	}
 }
