--- a/internal/controller/load_test.go
+++ b/internal/controller/load_test.go
@@ -116,9 +116,9 @@
 	liveMB := func() float64 {
 		runtime.GC()
 		runtime.GC()
-		var machine runtime.MemStats
-		runtime.ReadMemStats(&machine)
-		return float64(machine.HeapAlloc) / (1 << 20)
+		var mem runtime.MemStats
+		runtime.ReadMemStats(&mem)
+		return float64(mem.HeapAlloc) / (1 << 20)
 	}
 	term, peer, _ := leading(t)
 	draw := rand.New(rand.NewPCG(1, 2))
