--- a/internal/simtest/cmd/mutants.go
+++ b/internal/simtest/cmd/mutants.go
@@ -76,7 +76,7 @@
 }
 
 // failedRow is a line of a scripted meeting that broke a rule or whose tasks stayed too long.
-var failedRow = regexp.MustCompile(`(?m)^\s+[a-z]+_test\.go:\d+: (.*?)(?:, (?:planimetra|donorline), seed \d+)?: (.*)$`)
+var failedRow = regexp.MustCompile(`(?m)^\s+[a-z_]+_test\.go:\d+: (.*?)(?:, (?:planimetra|donorline), seed \d+)?: (.*)$`)
 
 // scripted plays the scripted meetings with the mistake that was built last, and tells how many of
 // their rows find it, and the first that does.
