--- a/internal/simtest/cmd/mutants.go
+++ b/internal/simtest/cmd/mutants.go
@@ -29,6 +29,8 @@
 	For  time.Duration `help:"How long to explore each; 0: play the scripted rows alone." default:"1m"`
 	Draw string        `help:"What to draw; see run." enum:"all,faults,meetings,further,preempting" default:"all"`
 	Only string        `help:"Only those whose names contain this."`
+
+	BuildOnly bool `help:"Only build each, and explore nothing."`
 }
 
 var foundAfter = regexp.MustCompile(`(?s)^(\d+) schedules in (\S+) .*seed \d+ breaks (\S+);.*?(\d+) jobs, (\d+) faults`)
@@ -49,6 +51,10 @@
 		if err != nil {
 			return fmt.Errorf("%s: %w", m.name, err)
 		}
+		if c.BuildOnly {
+			fmt.Printf("| %s | builds |\n", m.name)
+			continue
+		}
 		written, err := scripted(dir)
 		if err != nil {
 			return fmt.Errorf("%s: %w", m.name, err)
