--- a/internal/controller/standstill_test.go
+++ b/internal/controller/standstill_test.go
@@ -43,7 +43,7 @@
 	defer cancel()
 	ctrl.ctx = ctx
 	term := &leaderTerm{ctrl: ctrl, ctx: ctx, end: cancel, token: 7}
-	renewLease := func(sentAt time.Time) { // acts as if a poll of the leader key sent at sentAt had shown this process as leader
+	renewLease := func(sentAt time.Time) { // simulates a poll of the leader key at sentAt that shows our key
 		ctrl.elector = leadership.New(leadership.Options{Member: "n0", Boot: ctrl.bootID, PollInterval: time.Second, LeaseTTL: 5 * time.Second, ValidFor: ctrl.timing.LeaderLease})
 		ctrl.elector.KeyRead(sentAt, sentAt, true, leadership.LeaderRecord{Member: "n0", Boot: ctrl.bootID, Attempt: 1}, 7)
 		ctrl.publishLease()
