--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -19,9 +19,9 @@
 	return sockets.Users
 }
 
-// Spare lists the purposes of idle connections in the order in which they are closed. Workers come first,
+// CloseOrder lists the purposes of idle connections in the order in which they are closed. Workers come first,
 // because they open a new connection with their next heartbeat. Connections without a request yet come
 // last, because they are likely about to be used.
-func (connectionAdmission) Spare() []sockets.Duty {
-	return []sockets.Duty{sockets.Workers, sockets.Users, sockets.Unknown}
+func (connectionAdmission) CloseOrder() []sockets.Duty {
+	return []sockets.Duty{sockets.Workers, sockets.Users, sockets.UnknownDuty}
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -150,7 +150,7 @@
 		Lease:             c.cfg.Lease,
 		Margin:            time.Second / 2,
 		CancelGrace:       c.cfg.CancelWait - c.cfg.Lease - c.timing.Margin,
-		MaxCalls:          sockets.Divide(c.cfg.MaxConns, c.fileSettings.Service.UserConnsShare).Direct / 2,
+		MaxCalls:          sockets.Divide(c.cfg.MaxConns, c.fileSettings.Service.UserConnsShare).DirectCalls / 2,
 	}
 }
 
--- a/internal/controller/live_environment.go
+++ b/internal/controller/live_environment.go
@@ -53,7 +53,7 @@
 // newLiveEnvironment creates the live environment. It sends nothing itself.
 func newLiveEnvironment(platform *settings.Platform, operator *settings.Operator) (*liveEnvironment, error) {
 	limits := sockets.Divide(platform.MaxConns, operator.Service.UserConnsShare)
-	workerClients, err := lru.NewWithEvict(limits.Direct, func(_ string, client *httpwire.Client) { client.Close() })
+	workerClients, err := lru.NewWithEvict(limits.DirectCalls, func(_ string, client *httpwire.Client) { client.Close() })
 	if err != nil {
 		return nil, fmt.Errorf("calls to workers: %w", err)
 	}
--- a/internal/httpwire/server.go
+++ b/internal/httpwire/server.go
@@ -31,8 +31,8 @@
 	DutyOf(req *Request) Duty
 	// Accepted counts a connection; full tells that an idle one must be closed for it.
 	Accepted() (full bool)
-	// Became and Closed count a connection whose duty changes, and one that is closed.
-	Became(from, to Duty)
+	// ChangeDuty and Closed count a connection whose duty changes, and one that is closed.
+	ChangeDuty(from, to Duty)
 	Closed(d Duty)
 	// Keep tells whether a connection may stay open after its answer.
 	Keep(d Duty) bool
@@ -40,8 +40,8 @@
 	// that was closed because none was idle.
 	Evicted()
 	Refused()
-	// Spare lists the duties whose idle connections are closed for new ones, in order.
-	Spare() []Duty
+	// CloseOrder lists the duties whose idle connections are closed for new ones, in order.
+	CloseOrder() []Duty
 }
 
 // ServerOptions are the listener's bounds.
@@ -139,7 +139,7 @@
 // longestIdle picks the connection to close that has been idle longest, of the first duty
 // that has one.
 func (s *Server) longestIdle() gnet.Conn {
-	for _, duty := range s.options.Admission.Spare() {
+	for _, duty := range s.options.Admission.CloseOrder() {
 		if conns := s.resting[duty]; conns != nil && conns.Len() > 0 {
 			conn, _ := conns.Front().Value.(gnet.Conn)
 			s.enterPhase(conn, s.conns[conn], connClosing, time.Now())
@@ -242,7 +242,7 @@
 	if duty == state.duty {
 		return
 	}
-	s.options.Admission.Became(state.duty, duty)
+	s.options.Admission.ChangeDuty(state.duty, duty)
 	s.mu.Lock()
 	state.duty = duty // it serves a request, so it is in no list of idle connections
 	s.mu.Unlock()
--- a/internal/httpwire/server_test.go
+++ b/internal/httpwire/server_test.go
@@ -24,7 +24,7 @@
 	return sockets.Users
 }
 
-func (byPath) Spare() []sockets.Duty { return []sockets.Duty{sockets.Workers} }
+func (byPath) CloseOrder() []sockets.Duty { return []sockets.Duty{sockets.Workers} }
 
 // startServer serves every request with 200 and returns the address.
 func startServer(t *testing.T, budget *sockets.Budget) string {
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -215,5 +215,5 @@
 // DutyOf implements httpwire.Admission.
 func (pageAdmission) DutyOf(*httpwire.Request) sockets.Duty { return sockets.Users }
 
-// Spare implements httpwire.Admission.
-func (pageAdmission) Spare() []sockets.Duty { return []sockets.Duty{sockets.Users} }
+// CloseOrder implements httpwire.Admission.
+func (pageAdmission) CloseOrder() []sockets.Duty { return []sockets.Duty{sockets.Users} }
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -27,7 +27,7 @@
 
 	budget := sockets.New(sockets.Limits{Listener: 10, Workers: 5})
 	budget.Accepted()
-	budget.Became(sockets.Unknown, sockets.Workers)
+	budget.ChangeDuty(sockets.UnknownDuty, sockets.Workers)
 	s := New("berth-0", budget.Use)
 	s.Round(Place, 3*time.Millisecond)
 	s.Round(Place, 30*time.Millisecond)
--- a/internal/sockets/sockets.go
+++ b/internal/sockets/sockets.go
@@ -15,10 +15,10 @@
 
 // The duties.
 const (
-	Unknown Duty = iota // accepted, no request received yet
-	Health              // health checks
-	Users               // submissions, queries, cancellations
-	Workers             // workers' heartbeats
+	UnknownDuty Duty = iota // accepted, no request received yet
+	Health                  // health checks
+	Users                   // submissions, queries, cancellations
+	Workers                 // workers' heartbeats
 	dutyCount
 )
 
@@ -27,9 +27,9 @@
 
 // Limits holds the number of this process's sockets that each use may take.
 type Limits struct {
-	Listener int // accepted connections, all duties together
-	Workers  int // of these, workers' connections that stay open between heartbeats
-	Direct   int // connections to workers for direct calls; at most half as many calls run at once
+	Listener    int // accepted connections, all duties together
+	Workers     int // of these, workers' connections that stay open between heartbeats
+	DirectCalls int // connections to workers for direct calls; at most half as many calls run at once
 }
 
 const (
@@ -50,7 +50,7 @@
 func Divide(quota int, listenerShare float64) Limits {
 	direct := max(minSockets, quota/directDivisor)
 	listener := max(minSockets, min(int(float64(quota)*listenerShare), quota-direct-reservedSockets))
-	return Limits{Listener: listener, Workers: percentOf(listener, workersPercent), Direct: direct}
+	return Limits{Listener: listener, Workers: percentOf(listener, workersPercent), DirectCalls: direct}
 }
 
 func percentOf(n, percent int) int { return n * percent / 100 }
@@ -78,7 +78,7 @@
 }
 
 func (b *Budget) accepted() int {
-	return b.open[Unknown] + b.open[Health] + b.open[Users] + b.open[Workers]
+	return b.open[UnknownDuty] + b.open[Health] + b.open[Users] + b.open[Workers]
 }
 
 // Accepted counts a connection that was just accepted. full reports whether an idle connection must be
@@ -86,7 +86,7 @@
 func (b *Budget) Accepted() (full bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.add(Unknown, 1)
+	b.add(UnknownDuty, 1)
 	return b.accepted() > b.limits.Listener
 }
 
@@ -104,8 +104,8 @@
 	b.refused++
 }
 
-// Became moves a connection from one duty to another, once its request shows its duty.
-func (b *Budget) Became(from, to Duty) {
+// ChangeDuty moves a connection from one duty to another, once its request shows its duty.
+func (b *Budget) ChangeDuty(from, to Duty) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.add(from, -1)
--- a/internal/sockets/sockets_test.go
+++ b/internal/sockets/sockets_test.go
@@ -9,10 +9,10 @@
 		share float64
 		want  Limits
 	}{
-		{name: "a large quota", quota: 3207, share: 0.85, want: Limits{Listener: 2725, Workers: 1907, Direct: 200}},
-		{name: "a small quota", quota: 900, share: 0.85, want: Limits{Listener: 765, Workers: 535, Direct: 56}},
-		{name: "the whole quota for the listener: the other uses keep their sockets", quota: 900, share: 1, want: Limits{Listener: 780, Workers: 546, Direct: 56}},
-		{name: "the minimum limits", quota: 50, share: 0.85, want: Limits{Listener: 8, Workers: 5, Direct: 8}},
+		{name: "a large quota", quota: 3207, share: 0.85, want: Limits{Listener: 2725, Workers: 1907, DirectCalls: 200}},
+		{name: "a small quota", quota: 900, share: 0.85, want: Limits{Listener: 765, Workers: 535, DirectCalls: 56}},
+		{name: "the whole quota for the listener: the other uses keep their sockets", quota: 900, share: 1, want: Limits{Listener: 780, Workers: 546, DirectCalls: 56}},
+		{name: "the minimum limits", quota: 50, share: 0.85, want: Limits{Listener: 8, Workers: 5, DirectCalls: 8}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := Divide(test.quota, test.share); got != test.want {
@@ -27,7 +27,7 @@
 	budget := New(Limits{Listener: 10, Workers: 4})
 	open := func(duty Duty) (full bool) {
 		full = budget.Accepted()
-		budget.Became(Unknown, duty)
+		budget.ChangeDuty(UnknownDuty, duty)
 		return full
 	}
 	for range 4 {
