--- a/internal/controller/direct_calls.go
+++ b/internal/controller/direct_calls.go
@@ -34,7 +34,7 @@
 func (c *Controller) sendDirectCall(call workers.Call) (workers.CallOutcome, *model.Heartbeat) {
 	ctx, cancel := context.WithTimeout(c.ctx, c.fileSettings.Service.DirectCall)
 	defer cancel()
-	if !c.env.Now().Before(call.Until) { // the lease expired before the call was sent, as when the process was suspended
+	if !c.env.Now().Before(call.Deadline) { // the lease expired before the call was sent, as when the process was suspended
 		return workers.Refused, nil
 	}
 	commands := model.DirectCommands{Token: call.Token, Session: call.Epoch, Commands: call.Commands}
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -106,12 +106,12 @@
 	if pending.result.NotifyLeader && c.term != nil {
 		c.term.startRoundSoon()
 	}
-	if !pending.result.Pending {
+	if !pending.result.AwaitsLeader {
 		pending.reply(pending.result)
 		return
 	}
 	pending.deadline = pending.arrivedAt.Add(c.settings.Placement.ReportWait)
-	if pending.result.Unacknowledged {
+	if pending.result.AwaitsAcknowledgement {
 		pending.deadline = pending.arrivedAt.Add(max(c.settings.Placement.ReportWait, acknowledgementWait))
 	}
 	if now.Before(pending.deadline) {
--- a/internal/controller/rounds.go
+++ b/internal/controller/rounds.go
@@ -165,7 +165,7 @@
 	request.Owners = t.ownerMessages(now)
 	if peer.restarted {
 		// Its earlier process got the acknowledgements of its machines' tasks.
-		wants, request.Seen = nil, workers.AllChanges
+		wants, request.Seen = nil, workers.AllChangesSeen
 	} else {
 		request.Orders = t.scheduler.Orders(peer.member)
 		// The owner's clock was read before its answer arrived.
--- a/internal/controller/standstill_test.go
+++ b/internal/controller/standstill_test.go
@@ -62,13 +62,13 @@
 		}},
 	} {
 		renewLease(time.Now())
-		call.Until = time.Now().Add(time.Second)
+		call.Deadline = time.Now().Add(time.Second)
 		sent.Store(0)
 		if c.do(); sent.Load() != 1 {
 			t.Errorf("%s: %d requests sent with a valid leader lease", c.name, sent.Load())
 		}
 		renewLease(time.Now().Add(-ctrl.timing.LeaderLease))
-		call.Until = time.Now().Add(-time.Millisecond)
+		call.Deadline = time.Now().Add(-time.Millisecond)
 		sent.Store(0)
 		if done := c.do(); sent.Load() != 0 || (done && (c.name == "store write" || c.name == "direct call")) {
 			t.Errorf("%s: sent after the leader lease expired", c.name)
--- a/internal/simtest/cmd/mutants_controller.go
+++ b/internal/simtest/cmd/mutants_controller.go
@@ -8,7 +8,7 @@
 	{"what a restarted owner says is believed", []edit{{"controller/rounds.go", "if !t.loaded || peer.restarted {", "if !t.loaded {"}, {"controller/rounds.go", "if peer.restarted {\n\t\t// Its", "if false {\n\t\t// Its"}}},
 	{"changes of machines' records do not guard their stamps", []edit{{"controller/machine_records.go", "txn.Preconditions = append(txn.Preconditions, store.Precondition{Key: change.Key, Revision: change.Revision})\n", ""}}},
 	{"a view of the jobs counts from its answer", []edit{{"controller/job_watch.go", "t.applyChanges(events)\n\t\t\t\t}\n\t\t\t\tt.observeJobs(sentAt)", "t.applyChanges(events)\n\t\t\t\t}\n\t\t\t\tt.observeJobs(t.ctrl.env.Now())"}}},
-	{"a direct call has no end", []edit{{"controller/direct_calls.go", "if !c.env.Now().Before(call.Until) {", "if false {"}}},
+	{"a direct call has no end", []edit{{"controller/direct_calls.go", "if !c.env.Now().Before(call.Deadline) {", "if false {"}}},
 	{"messages go out after the right to act", []edit{{"controller/rounds.go", "if !t.ctrl.elector.HoldsLease(now) {", "if t.ctrl.elector.Token() == 0 {"}, {"controller/rounds.go", "if ctrl.holdsLease() {", "if true {"},
 		{"controller/controller.go", "if c.term != nil && c.elector.HoldsLease(now) {", "if c.term != nil {"}}},
 	{"a save does not guard the record", []edit{{"controller/job_parts.go", "txn.Preconditions = append(txn.Preconditions, store.Precondition{Key: record, Revision: write.Stamp})\n", ""}}},
--- a/internal/workers/acknowledge.go
+++ b/internal/workers/acknowledge.go
@@ -12,9 +12,9 @@
 // lease of all of them, so the owner delays the answer until the leader has acknowledged the machine's
 // list of tasks. The answer then carries the stops that came with the acknowledgement.
 
-// AllChanges is sent by a leader as the last change it has seen when it has no stop for any task on
+// AllChangesSeen is sent by a leader as the last change it has seen when it has no stop for any task on
 // the owner's machines.
-const AllChanges = math.MaxUint64
+const AllChangesSeen = math.MaxUint64
 
 // slowLeaderWait is how long an answer to a machine waits for the acknowledgement of a leader that
 // keeps sending rounds.
--- a/internal/workers/acknowledge_test.go
+++ b/internal/workers/acknowledge_test.go
@@ -89,7 +89,7 @@
 	}},
 	{name: "the leader has no stops for the owner", steps: func(registry *Registry) HeartbeatResult {
 		round := newRound(5, 10)
-		round.Seen = AllChanges
+		round.Seen = AllChangesSeen
 		registry.HandleRound(at(0.5), round)
 		return registry.HandleHeartbeat(at(1), newHeartbeat(1, 1, 5, running("j/1")))
 	}},
@@ -131,7 +131,7 @@
 			if test.pending {
 				status = http.StatusServiceUnavailable
 			}
-			if got := commandTexts(result.Commands); result.Status != status || result.Pending != test.pending || !reflect.DeepEqual(got, test.answer) {
+			if got := commandTexts(result.Commands); result.Status != status || result.AwaitsLeader != test.pending || !reflect.DeepEqual(got, test.answer) {
 				t.Errorf("answered %+v", result)
 			}
 		})
--- a/internal/workers/calls.go
+++ b/internal/workers/calls.go
@@ -13,7 +13,7 @@
 	Token     uint64
 	Epoch     uint64
 	Commands  []model.Command
-	Until     time.Time // the lease ends then: the call must not be sent later
+	Deadline  time.Time // the lease ends then: the call must not be sent later
 	id        uint64
 	lastKnown heartbeatVersion // of the machine's newest heartbeat when the call was made
 }
@@ -118,7 +118,7 @@
 		Token:     reg.token,
 		Epoch:     machine.newest.epoch,
 		Commands:  []model.Command{},
-		Until:     reg.leaseUntil,
+		Deadline:  reg.leaseUntil,
 		lastKnown: machine.newest,
 	}
 	isDue = machine.needsProbe()
--- a/internal/workers/heartbeat.go
+++ b/internal/workers/heartbeat.go
@@ -31,10 +31,10 @@
 	Token        uint64
 	Commands     []model.Command
 	NotifyLeader bool // a change should be reported to the leader soon
-	Pending      bool // the answer only waits for a message from the leader
-	// Unacknowledged reports whether that message is the acknowledgement of the machine's tasks and not
+	AwaitsLeader bool // the answer only waits for a message from the leader
+	// AwaitsAcknowledgement reports whether that message is the acknowledgement of the machine's tasks and not
 	// a lease.
-	Unacknowledged bool
+	AwaitsAcknowledgement bool
 }
 
 // refused is the answer of a controller that may not answer a worker now.
@@ -42,7 +42,7 @@
 
 // unacknowledged is the answer until the leader has acknowledged a machine's tasks.
 func unacknowledged() HeartbeatResult {
-	return HeartbeatResult{Status: http.StatusServiceUnavailable, Pending: true, Unacknowledged: true}
+	return HeartbeatResult{Status: http.StatusServiceUnavailable, AwaitsLeader: true, AwaitsAcknowledgement: true}
 }
 
 // accepted is an answer that extends a worker's lease.
@@ -87,7 +87,7 @@
 	// a moment ago.
 	if !reg.HoldsLease(now) || heartbeat.Token > reg.token {
 		result := refused()
-		result.Pending = heartbeat.Token <= reg.token
+		result.AwaitsLeader = heartbeat.Token <= reg.token
 		return result
 	}
 	pool := model.Pool{Type: heartbeat.Type, Zone: heartbeat.Zone}
@@ -95,7 +95,7 @@
 	case reg.options.Member:
 	case "":
 		result := refused()
-		result.Pending = len(reg.owners) == 0 // the leader has not sent the pools' owners yet
+		result.AwaitsLeader = len(reg.owners) == 0 // the leader has not sent the pools' owners yet
 		return result
 	default:
 		reg.recordMisdirected(now, heartbeat.Machine)
--- a/internal/workers/lease_test.go
+++ b/internal/workers/lease_test.go
@@ -47,7 +47,7 @@
 	// The controller is suspended from 1 s on. When it resumes, its lease until 10 s is over, and its call
 	// must not be sent any more.
 	registry.HandleHeartbeat(at(1), newHeartbeat(1, 1, 0))
-	if calls := registry.DueCalls(at(1)); len(calls) != 1 || calls[0].Until.After(at(10)) {
+	if calls := registry.DueCalls(at(1)); len(calls) != 1 || calls[0].Deadline.After(at(10)) {
 		t.Errorf("calls %+v", calls)
 	}
 	if result := registry.HandleHeartbeat(at(12), newHeartbeat(1, 2, 5)); result.Status != http.StatusServiceUnavailable || len(registry.DueCalls(at(12))) > 0 {
