--- a/internal/accounting/accounting_test.go
+++ b/internal/accounting/accounting_test.go
@@ -120,7 +120,7 @@
 		End:      now,
 	}
 	interval.Account.Spot = rapid.Bool().Draw(h.t, "spot")
-	h.accounts.Own.Count(interval)
+	h.accounts.CurrentTerm.Count(interval)
 	h.counted[interval.Kind] = h.counted[interval.Kind].Add(usageOf(interval.Size, interval.Duration))
 }
 
@@ -146,14 +146,14 @@
 		}
 	}
 	h.stored = sum
-	if !h.accounts.Own.balanced() {
+	if !h.accounts.CurrentTerm.balanced() {
 		h.t.Fatal("the usage summed by account differs from that summed by pool")
 	}
 }
 
 // hasUnwritten reports whether the current leader still has to read or write records.
 func (h *history) hasUnwritten() bool {
-	return len(h.accounts.Own.dirtyParts) > 0 || len(h.accounts.earlierTerms) > 0 || h.accounts.Phase() == Loading
+	return len(h.accounts.CurrentTerm.dirtyParts) > 0 || len(h.accounts.earlierTerms) > 0 || h.accounts.Phase() == Loading
 }
 
 // Leaders count and write usage and are replaced before, during and after writes; writes are executed late or
@@ -287,7 +287,7 @@
 		}
 	}
 	restored := NewLedger()
-	restored.Import(ledger.Export())
+	restored.ImportRecent(ledger.ExportRecent())
 	if restored.RecentCPUSeconds("x", t0) != 600 || restored.RecentCPUSeconds("y", t0) != 0 {
 		t.Error("the imported recent usage differs from the exported one")
 	}
--- a/internal/accounting/accounts.go
+++ b/internal/accounting/accounts.go
@@ -37,7 +37,7 @@
 // Accounts holds all stored usage and the ledger of the current term. The keys of the term's records contain
 // the fencing token that the term began with; a renewal of the token does not change them.
 type Accounts struct {
-	Own          *Ledger // usage of the current term
+	CurrentTerm  *Ledger // usage of the current term
 	token        uint64
 	phase        Phase
 	stored       map[string]Item // by key: the last known stored values
@@ -63,7 +63,7 @@
 // NewAccounts returns the accounts of a term, in phase Loading.
 func NewAccounts(token uint64, own *Ledger) *Accounts {
 	return &Accounts{
-		Own:          own,
+		CurrentTerm:  own,
 		token:        token,
 		stored:       map[string]Item{},
 		total:        map[int][]Row{},
@@ -79,10 +79,10 @@
 
 // HasBacklog reports whether there is more to write than the last transaction had capacity for.
 func (a *Accounts) HasBacklog() bool {
-	return len(a.earlierTerms) > 0 || len(a.inFlight.parts) > 0 && len(a.Own.dirtyParts) > 0
+	return len(a.earlierTerms) > 0 || len(a.inFlight.parts) > 0 && len(a.CurrentTerm.dirtyParts) > 0
 }
 
-// Load replaces the known stored usage by items, which must be everything that is stored under Prefix. It must
+// Load replaces the known stored usage by items, which must be everything that is stored under KeyPrefix. It must
 // not be called while a transaction is in flight. On an error it changes nothing.
 func (a *Accounts) Load(items []Item) error {
 	stored, total, earlierTerms := map[string]Item{}, map[int][]Row{}, map[uint64]bool{}
@@ -167,12 +167,12 @@
 
 // writeOwnParts adds the changed parts of the current term to the transaction, as far as it has capacity.
 func (a *Accounts) writeOwnParts(limits writeLimits) (failed error) {
-	for part := range a.Own.dirtyParts {
+	for part := range a.CurrentTerm.dirtyParts {
 		if len(a.inFlight.parts) == limits.maxOps {
 			break
 		}
-		delete(a.Own.dirtyParts, part)
-		rows := a.Own.sortedRows(func(account Account) bool { return partOf(account) == part })
+		delete(a.CurrentTerm.dirtyParts, part)
+		rows := a.CurrentTerm.sortedRows(func(account Account) bool { return partOf(account) == part })
 		if err := a.put(rowKey(a.token, part), rows, limits); err != nil {
 			failed = errors.Join(failed, err)
 			continue
@@ -218,7 +218,7 @@
 // both expect, so that only one of them succeeds.
 func (a *Accounts) TxnFailed() {
 	for _, part := range a.inFlight.parts {
-		a.Own.dirtyParts[part] = true
+		a.CurrentTerm.dirtyParts[part] = true
 	}
 	a.inFlight = transaction{}
 	a.setPhase(Loading)
@@ -227,7 +227,7 @@
 // Rows returns all known usage: the total, the earlier terms that are not merged yet, and the current term
 // including usage that is not written yet.
 func (a *Accounts) Rows() []Row {
-	merged := mergeRows(a.Own.sortedRows(allAccounts), a.totalRows())
+	merged := mergeRows(a.CurrentTerm.sortedRows(allAccounts), a.totalRows())
 	return a.addStored(merged, func(token uint64) bool { return token != a.token })
 }
 
--- a/internal/accounting/encoding.go
+++ b/internal/accounting/encoding.go
@@ -15,8 +15,8 @@
 
 // The prefixes of the stored keys. The total and the rows of each term are stored in parts by account.
 const (
-	Prefix      = "usage/"
-	totalPrefix = Prefix + "total/"
+	KeyPrefix   = "usage/"
+	totalPrefix = KeyPrefix + "total/"
 )
 
 // WatermarkKey is the stored key of the Watermark, which is written with every part and read by the next leader.
@@ -43,7 +43,7 @@
 
 // rowKey returns the stored key of a part of a term's rows.
 func rowKey(token uint64, part int) string {
-	return fmt.Sprintf("%s%016x/%02d", Prefix, token, part)
+	return fmt.Sprintf("%s%016x/%02d", KeyPrefix, token, part)
 }
 
 // totalKey returns the stored key of a part of the total.
@@ -51,7 +51,7 @@
 
 // parseKey returns the term's token and the part of a stored key. Token 0 stands for the total.
 func parseKey(key string) (token uint64, part int, err error) {
-	rest, hasPrefix := strings.CutPrefix(key, Prefix)
+	rest, hasPrefix := strings.CutPrefix(key, KeyPrefix)
 	term, number, isCut := strings.Cut(rest, "/")
 	if hasPrefix && isCut && term != totalName {
 		token, err = strconv.ParseUint(term, 16, 64)
--- a/internal/accounting/recent.go
+++ b/internal/accounting/recent.go
@@ -19,8 +19,8 @@
 	return r.CPU * math.Exp2(-now.Sub(r.At).Seconds()/halfLife.Seconds())
 }
 
-// Export returns a copy of the recent usage by team, for a snapshot of the state that decisions depend on.
-func (l *Ledger) Export() map[string]Recent {
+// ExportRecent returns a copy of the recent usage by team, for a snapshot of the state that decisions depend on.
+func (l *Ledger) ExportRecent() map[string]Recent {
 	out := map[string]Recent{}
 	for team, recent := range l.recent {
 		out[team] = recent
@@ -28,8 +28,8 @@
 	return out
 }
 
-// Import sets the recent usage of teams from a snapshot.
-func (l *Ledger) Import(usage map[string]Recent) {
+// ImportRecent sets the recent usage of teams from a snapshot.
+func (l *Ledger) ImportRecent(usage map[string]Recent) {
 	for team, recent := range usage {
 		l.recent[team] = recent
 	}
--- a/internal/controller/accounts.go
+++ b/internal/controller/accounts.go
@@ -112,7 +112,7 @@
 
 // readAccounts reads the stored accounts, to which the usage of this term is added. It runs outside the loop.
 func (t *leaderTerm) readAccounts() {
-	items, revision, err := t.ctrl.store.List(t.ctx, accounting.Prefix)
+	items, revision, err := t.ctrl.store.List(t.ctx, accounting.KeyPrefix)
 	var watermark store.Item
 	if err == nil {
 		if watermark, err = t.ctrl.store.Get(t.ctx, accounting.WatermarkKey); errors.Is(err, store.ErrNotFound) {
--- a/internal/controller/accounts_test.go
+++ b/internal/controller/accounts_test.go
@@ -67,7 +67,7 @@
 // watermark, whether or not the two writes have a record in common. Otherwise the watermark goes back, and the next
 // leader counts usage twice.
 func TestLateAccountsWriteFails(t *testing.T) {
-	one, other := accounting.Change{Key: accounting.Prefix + "1/01", Value: []byte(`"1"`)}, accounting.Change{Key: accounting.Prefix + "1/02", Value: []byte(`"2"`)}
+	one, other := accounting.Change{Key: accounting.KeyPrefix + "1/01", Value: []byte(`"1"`)}, accounting.Change{Key: accounting.KeyPrefix + "1/02", Value: []byte(`"2"`)}
 	for _, c := range []struct {
 		name   string
 		stored bool // there is a watermark already
@@ -80,7 +80,7 @@
 		kv := simulation.NewStore(simulation.New(1), 16)
 		revision := uint64(0)
 		if c.stored {
-			out, err := kv.Txn(accountsTxn(store.Txn{}, []accounting.Change{{Key: accounting.Prefix + "1/03", Value: []byte(`"0"`)}}, accounting.Watermark{AtMS: 5}, 0))
+			out, err := kv.Txn(accountsTxn(store.Txn{}, []accounting.Change{{Key: accounting.KeyPrefix + "1/03", Value: []byte(`"0"`)}}, accounting.Watermark{AtMS: 5}, 0))
 			if err != nil || !out.Succeeded() {
 				t.Fatal(out, err)
 			}
--- a/internal/placement/snapshot_export.go
+++ b/internal/placement/snapshot_export.go
@@ -35,7 +35,7 @@
 		Heard:     cs.lastResponse,
 	}
 	if cs.ledger != nil {
-		state.Lately = cs.ledger.Export()
+		state.Lately = cs.ledger.ExportRecent()
 	}
 	for pool, member := range cs.owners {
 		state.Owners = append(state.Owners, OwnerState{Kind: pool, Member: member})
--- a/internal/placement/snapshot_import.go
+++ b/internal/placement/snapshot_import.go
@@ -20,7 +20,7 @@
 	maps.Copy(cs.lastResponse, state.Heard)
 	maps.Copy(cs.terminated, state.Gone)
 	if cs.ledger != nil {
-		cs.ledger.Import(state.Lately)
+		cs.ledger.ImportRecent(state.Lately)
 	}
 	cs.importTeams(state)
 	cs.poolsGeneration = 1 // higher than the generation of any job, so that the jobs' pools are computed
--- a/internal/simtest/accounts.go
+++ b/internal/simtest/accounts.go
@@ -9,7 +9,7 @@
 // counted sums what the state service holds of each team's use, and of its work that is repeated.
 func (w *cluster) counted() (run map[string]time.Duration, err error) {
 	run = map[string]time.Duration{}
-	items, _ := w.store.List(accounting.Prefix)
+	items, _ := w.store.List(accounting.KeyPrefix)
 	for _, it := range items {
 		rows, err := accounting.Decode(it.Value)
 		if err != nil {
--- a/internal/simtest/writes_test.go
+++ b/internal/simtest/writes_test.go
@@ -81,7 +81,7 @@
 	{"a drain", func(_ storeClient, t store.Txn) bool { return sets(t, placement.DrainPrefix) != nil }, false, false},
 	{"its end", func(_ storeClient, t store.Txn) bool { return deletes(t, placement.DrainPrefix) }, false, false},
 	{"machine types", func(_ storeClient, t store.Txn) bool { return sets(t, "types") != nil }, true, false},
-	{"lines of accounts", func(_ storeClient, t store.Txn) bool { return sets(t, accounting.Prefix) != nil }, false, false},
+	{"lines of accounts", func(_ storeClient, t store.Txn) bool { return sets(t, accounting.KeyPrefix) != nil }, false, false},
 }
 
 // writesPlan has every kind of write: jobs of all shapes, some that wait, some cancelled; drains;
