--- a/internal/controller/links_test.go
+++ b/internal/controller/links_test.go
@@ -258,7 +258,7 @@
 		names = append(names, fmt.Sprintf("m9%03d", i))
 	}
 	for _, name := range names {
-		w := store.Put(machinerecords.SinglePrefix+name, machinerecords.Registration{Pool: model.Pool{Type: "big", Zone: "a"}, Addr: "x:1"})
+		w := store.Put(machinerecords.SingleRecordPrefix+name, machinerecords.Registration{Pool: model.Pool{Type: "big", Zone: "a"}, Addr: "x:1"})
 		records = append(records, store.Item{Key: w.Set, Value: w.Value, Revision: 3})
 	}
 	term.scheduler.Load(now, scheduler.StoredRecords{Machines: records})
--- a/internal/controller/load_test.go
+++ b/internal/controller/load_test.go
@@ -129,7 +129,7 @@
 	pool := model.Pool{Type: "big", Zone: "a"}
 	for i := range machines {
 		name := fmt.Sprintf("vm-%06d", i)
-		write := store.Put(machinerecords.SinglePrefix+name, machinerecords.Registration{Pool: pool, Addr: "10.0.0.1:9000"})
+		write := store.Put(machinerecords.SingleRecordPrefix+name, machinerecords.Registration{Pool: pool, Addr: "10.0.0.1:9000"})
 		hostItems = append(hostItems, store.Item{Key: write.Set, Value: write.Value, Revision: uint64(i + 20)})
 		machine := &peerspb.Machine{Name: name, Addr: "10.0.0.1:9000", Kind: &peerspb.Kind{Type: "big", Zone: "a"}, Phase: "current", Session: 1, Seq: 1, NoticeMs: -1}
 		for k := range 16 {
--- a/internal/controller/loading.go
+++ b/internal/controller/loading.go
@@ -106,7 +106,7 @@
 // machineLedger reads the records of machines into a new ledger.
 func (r *recordReader) machineLedger() (*machinerecords.Ledger, error) {
 	ledger := machinerecords.New(r.ledger, r.token)
-	for _, prefix := range []string{machinerecords.SinglePrefix, machinerecords.GroupPrefix} {
+	for _, prefix := range []string{machinerecords.SingleRecordPrefix, machinerecords.GroupRecordPrefix} {
 		items, _, err := r.store.List(r.ctx, prefix)
 		if err != nil {
 			return nil, err
@@ -121,7 +121,7 @@
 // machineItems returns one record for each machine, also for machines that share a group record.
 func machineItems(ledger *machinerecords.Ledger) (machines []store.Item) {
 	for _, machine := range ledger.Machines() {
-		write := store.Put(machinerecords.SinglePrefix+machine.Name, machine.Registration)
+		write := store.Put(machinerecords.SingleRecordPrefix+machine.Name, machine.Registration)
 		machines = append(machines, store.Item{Key: write.Set, Value: write.Value, Revision: machine.Revision})
 	}
 	return machines
--- a/internal/machinerecords/draft.go
+++ b/internal/machinerecords/draft.go
@@ -123,7 +123,7 @@
 
 // singleRecord returns the draft of a machine's own record, or nil if the transaction is full.
 func (l *Ledger) singleRecord(name string, registration Registration) *draft {
-	key := SinglePrefix + name
+	key := SingleRecordPrefix + name
 	from := l.records.At(key)
 	if from == nil {
 		from = &record{single: true, poolKey: registration.poolKey(), machines: map[string]string{}}
@@ -146,7 +146,7 @@
 		}
 	}
 	l.groupsCreated++
-	key := fmt.Sprintf("%s%016x-%06d", GroupPrefix, l.token, l.groupsCreated)
+	key := fmt.Sprintf("%s%016x-%06d", GroupRecordPrefix, l.token, l.groupsCreated)
 	return l.draftFor(key, &record{poolKey: pool, machines: map[string]string{}})
 }
 
--- a/internal/machinerecords/ledger_test.go
+++ b/internal/machinerecords/ledger_test.go
@@ -197,7 +197,7 @@
 		}
 	}
 	for key := range s.items {
-		if !strings.HasPrefix(key, SinglePrefix) {
+		if !strings.HasPrefix(key, SingleRecordPrefix) {
 			t.Errorf("group record %s is left", key)
 		}
 	}
@@ -225,8 +225,8 @@
 // Load fails on a record that cannot be decoded, which keeps a leader from starting tasks.
 func TestLoadRejectsMalformedRecord(t *testing.T) {
 	for _, item := range []Item{
-		{SinglePrefix + "m", []byte(`[]`), 1},
-		{GroupPrefix + "x", []byte(`{"hosts":3}`), 1},
+		{SingleRecordPrefix + "m", []byte(`[]`), 1},
+		{GroupRecordPrefix + "x", []byte(`{"hosts":3}`), 1},
 	} {
 		if newLedger().Load([]Item{item}) == nil {
 			t.Errorf("load accepts the malformed record %s", item.Value)
--- a/internal/machinerecords/record.go
+++ b/internal/machinerecords/record.go
@@ -12,8 +12,8 @@
 // The prefixes of stored keys. Earlier versions read and write only records of single machines; group records
 // are written only if every controller can read them.
 const (
-	SinglePrefix = "host/"
-	GroupPrefix  = "hosts/"
+	SingleRecordPrefix = "host/"
+	GroupRecordPrefix  = "hosts/"
 )
 
 // The estimated overhead of the encoding, in bytes, per record and per machine.
@@ -76,7 +76,7 @@
 
 // decodeRecord decodes a stored record.
 func decodeRecord(item Item) (*record, error) {
-	name, single := strings.CutPrefix(item.Key, SinglePrefix)
+	name, single := strings.CutPrefix(item.Key, SingleRecordPrefix)
 	if !single {
 		var group groupRecord
 		if err := json.Unmarshal(item.Value, &group); err != nil {
@@ -111,7 +111,7 @@
 	case len(r.machines) == 0:
 		return nil
 	case r.single:
-		return r.registration(strings.TrimPrefix(key, SinglePrefix))
+		return r.registration(strings.TrimPrefix(key, SingleRecordPrefix))
 	default:
 		return groupRecord{r.poolKey, r.machines}
 	}
--- a/internal/scheduler/records.go
+++ b/internal/scheduler/records.go
@@ -40,7 +40,7 @@
 		if err := json.Unmarshal(item.Value, &machine); err != nil {
 			s.log.Error("machine record unreadable", "key", item.Key, "err", err)
 		}
-		name := strings.TrimPrefix(item.Key, machinerecords.SinglePrefix)
+		name := strings.TrimPrefix(item.Key, machinerecords.SingleRecordPrefix)
 		s.cluster.AddMachine(placement.MachineRecord{
 			Name:     name,
 			Addr:     machine.Addr,
--- a/internal/simtest/guards_test.go
+++ b/internal/simtest/guards_test.go
@@ -73,14 +73,14 @@
 // names tells whether a transaction writes a record that names a machine.
 func names(t store.Txn, x *worker) bool {
 	return slices.ContainsFunc(t.Writes, func(c store.Write) bool {
-		return c.Set == machinerecords.SinglePrefix+x.name || strings.HasPrefix(c.Set, machinerecords.GroupPrefix) && strings.Contains(string(c.Value), `"`+x.name+`"`)
+		return c.Set == machinerecords.SingleRecordPrefix+x.name || strings.HasPrefix(c.Set, machinerecords.GroupRecordPrefix) && strings.Contains(string(c.Value), `"`+x.name+`"`)
 	})
 }
 
 // ofHosts tells whether a transaction changes records of machines.
 func ofHosts(t store.Txn) bool {
 	return slices.ContainsFunc(t.Writes, func(c store.Write) bool {
-		return strings.HasPrefix(c.Set+c.Delete, machinerecords.SinglePrefix) || strings.HasPrefix(c.Set+c.Delete, machinerecords.GroupPrefix)
+		return strings.HasPrefix(c.Set+c.Delete, machinerecords.SingleRecordPrefix) || strings.HasPrefix(c.Set+c.Delete, machinerecords.GroupRecordPrefix)
 	})
 }
 
--- a/internal/simtest/writes_test.go
+++ b/internal/simtest/writes_test.go
@@ -71,10 +71,10 @@
 		return t.LeaderBudget && w != nil && strings.Contains(string(w.Value), `"claim"`)
 	}, false, false},
 	{"records of machines", func(_ storeClient, t store.Txn) bool {
-		return sets(t, machinerecords.SinglePrefix) != nil || sets(t, machinerecords.GroupPrefix) != nil
+		return sets(t, machinerecords.SingleRecordPrefix) != nil || sets(t, machinerecords.GroupRecordPrefix) != nil
 	}, false, false},
 	{"removal of records of machines", func(_ storeClient, t store.Txn) bool {
-		return deletes(t, machinerecords.SinglePrefix) || deletes(t, machinerecords.GroupPrefix)
+		return deletes(t, machinerecords.SingleRecordPrefix) || deletes(t, machinerecords.GroupRecordPrefix)
 	}, false, false},
 	{"charter of a rental", func(_ storeClient, t store.Txn) bool { return sets(t, autoscaler.LaunchPrefix) != nil }, false, false},
 	{"end of a charter", func(_ storeClient, t store.Txn) bool { return deletes(t, autoscaler.LaunchPrefix) }, false, false},
@@ -235,7 +235,7 @@
 // unnamed are the machines that have a task and no record.
 func (w *cluster) unnamed() (out []string) {
 	ledger := machinerecords.New(machinerecords.Options{MaxOps: 16, MaxValueBytes: 4096, MaxTxnBytes: 48 << 10}, 1)
-	for _, prefix := range []string{machinerecords.SinglePrefix, machinerecords.GroupPrefix} {
+	for _, prefix := range []string{machinerecords.SingleRecordPrefix, machinerecords.GroupRecordPrefix} {
 		var items []machinerecords.Item
 		found, _ := w.store.List(prefix)
 		for _, it := range found {
