--- a/internal/controller/job_watch.go
+++ b/internal/controller/job_watch.go
@@ -54,7 +54,7 @@
 // observeJobs records that the term knows the state of all jobs as of sentAt, when the request that
 // returned it was sent.
 func (t *leaderTerm) observeJobs(sentAt time.Time) {
-	t.ctrl.elector.ObserveJobs(sentAt)
+	t.ctrl.elector.ObserveJobsView(sentAt)
 	t.ctrl.publishLease()
 }
 
--- a/internal/leadership/elector.go
+++ b/internal/leadership/elector.go
@@ -132,7 +132,7 @@
 // LastJobsView returns the send time of the last request whose response showed all jobs.
 func (e *Elector) LastJobsView() time.Time { return e.lastJobsView }
 
-// ObserveJobs records that the process knows all jobs and all cancellations, as of a request that was
+// ObserveJobsView records that the process knows all jobs and all cancellations, as of a request that was
 // sent at sent.
 //
 // Guard: the key shows that no other process leads, but not that this process knows what users have submitted
@@ -140,7 +140,7 @@
 // keep-alives preserved the key. Then a check of the key succeeded before the jobs were read, and the leader
 // started tasks of a job that had been cancelled during those twenty seconds.
 // TestLeaseCountsFromOlderOfCheckAndJobsView shows it.
-func (e *Elector) ObserveJobs(sent time.Time) {
+func (e *Elector) ObserveJobsView(sent time.Time) {
 	if sent.After(e.lastJobsView) {
 		e.lastJobsView = sent
 	}
--- a/internal/leadership/elector_test.go
+++ b/internal/leadership/elector_test.go
@@ -45,7 +45,7 @@
 func TestLeaseExpiresByClock(t *testing.T) {
 	elector := newLeader(t)
 	elector.KeyRead(at(9), at(5), true, LeaderRecord{Member: "n0", Boot: "b0", Attempt: 1}, 7)
-	elector.ObserveJobs(at(5))
+	elector.ObserveJobsView(at(5))
 	for _, c := range []struct {
 		at   float64
 		want bool
@@ -125,7 +125,7 @@
 			elector.KeyRead(at(sent), at(sent), true, LeaderRecord{Member: "n0", Boot: "b0", Attempt: 1}, revision)
 		}
 		for _, sent := range c.views {
-			elector.ObserveJobs(at(sent))
+			elector.ObserveJobsView(at(sent))
 		}
 		if !elector.HoldsLease(at(c.held)) || elector.HoldsLease(at(c.expired)) {
 			t.Errorf("%s: the lease expires after %v", c.name, elector.LeaseExpiry().Sub(t0))
@@ -250,7 +250,7 @@
 func TestLeaseCountsFromSendTime(t *testing.T) {
 	elector := newLeader(t)
 	elector.KeyRead(at(15), at(5), true, LeaderRecord{Member: "n0", Boot: "b0", Attempt: 1}, 7)
-	elector.ObserveJobs(at(10))
+	elector.ObserveJobsView(at(10))
 	for s, want := range map[float64]bool{15: true, 24.9: true, 25: false, 60: false} {
 		if got := elector.HoldsLease(at(s)); got != want {
 			t.Errorf("at %v s: holds the lease: %v", s, got)
