--- a/internal/controller/accounts.go
+++ b/internal/controller/accounts.go
@@ -91,9 +91,9 @@
 	}
 }
 
-// withdrawUsage removes the teams' usage from the metrics when this controller holds no leader lease: another
+// clearUsageMetrics removes the teams' usage from the metrics when this controller holds no leader lease: another
 // controller may lead then, and its figures are newer.
-func (t *leaderTerm) withdrawUsage(now time.Time) {
+func (t *leaderTerm) clearUsageMetrics(now time.Time) {
 	if t.ctrl.metrics != nil && !t.ctrl.elector.HoldsLease(now) {
 		t.ctrl.metrics.Usage(nil)
 	}
--- a/internal/controller/accounts_reads_test.go
+++ b/internal/controller/accounts_reads_test.go
@@ -32,7 +32,7 @@
 // teams' usage decreased, and the decreased usage was stored.
 func TestOutdatedAccountsReadIsIgnored(t *testing.T) {
 	const seconds = 100
-	term, _, _ := leading(t)
+	term, _, _ := newLeadingTerm(t)
 	events := term.ctrl.env.(*liveEnvironment).events
 	ledger := accounting.NewLedger()
 	ledger.Count(accounting.Interval{Account: accounting.Account{Team: "t"}, Kind: accounting.Run, Size: model.Size{CPUs: 1}, Duration: seconds * time.Second})
--- a/internal/controller/accounts_test.go
+++ b/internal/controller/accounts_test.go
@@ -14,13 +14,13 @@
 // Checks that a team's reported usage survives the loss of a leader, never decreases, and matches the time that its
 // tasks ran.
 func TestAccounts(t *testing.T) {
-	s := newSite(t, func(_ int, _ *settings.Platform, op *settings.Operator) {
+	s := newTestCluster(t, func(_ int, _ *settings.Platform, op *settings.Operator) {
 		op.Accounts.Keep, op.Accounts.Flush = "yes", 100*time.Millisecond
 	})
-	s.ask("POST", "/api/jobs", job("first", "batch", 1))
-	s.until("first", done)
+	s.request("POST", "/api/jobs", job("first", "batch", 1))
+	s.waitForJob("first", done)
 	used := func() float64 { // CPU seconds
-		out, err := s.operate(s.down, &operatorspb.Request{What: &operatorspb.Request_Teams{Teams: &operatorspb.TeamsRequest{}}})
+		out, err := s.requestAsOperator(s.down, &operatorspb.Request{What: &operatorspb.Request_Teams{Teams: &operatorspb.TeamsRequest{}}})
 		if err != nil {
 			return 0
 		}
@@ -31,11 +31,11 @@
 		}
 		return 0
 	}
-	if status, v := s.ask("POST", "/api/jobs", job("stays", "standing", 2)); status != 201 {
+	if status, v := s.request("POST", "/api/jobs", job("stays", "standing", 2)); status != 201 {
 		t.Fatalf("%d %v", status, v)
 	}
 	began := time.Now()
-	s.until("stays", func(map[string]any) bool { return s.cloud.Running() == 2 })
+	s.waitForJob("stays", func(map[string]any) bool { return s.cloud.Running() == 2 })
 	most, ran, killed := 0.0, 0.0, false
 	last := time.Now()
 	for deadline := began.Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
--- a/internal/controller/admission_test.go
+++ b/internal/controller/admission_test.go
@@ -8,10 +8,10 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// TestBusyLoop checks that a controller with a full heartbeat queue refuses further heartbeats with a
-// Retry-After and still passes health checks, and that it fails them once its event loop has stalled.
-func TestBusyLoop(t *testing.T) {
-	term, _, _ := leading(t)
+// TestHealthChecksDuringHeartbeatBurst checks that a controller with a full heartbeat queue refuses further heartbeats
+// with a Retry-After and still passes health checks, and that it fails them once its event loop has stalled.
+func TestHealthChecksDuringHeartbeatBurst(t *testing.T) {
+	term, _, _ := newLeadingTerm(t)
 	ctrl := term.ctrl
 	env, _ := ctrl.env.(*liveEnvironment)
 	ctrl.setTypes(map[string]model.MachineType{"big": {Name: "big", Zones: []string{"a"}}})
@@ -44,7 +44,7 @@
 // is refused.
 func TestLateHeartbeatsAreDropped(t *testing.T) {
 	t.Parallel()
-	term, _, _ := leading(t)
+	term, _, _ := newLeadingTerm(t)
 	ctrl := term.ctrl
 	env, _ := ctrl.env.(*liveEnvironment)
 	status := 0
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -36,8 +36,8 @@
 	return out
 }
 
-// site is a cluster of three controllers with fakes of the state service, the cloud and its workers.
-type site struct {
+// testCluster is a cluster of three controllers with fakes of the state service, the cloud and its workers.
+type testCluster struct {
 	testing.TB
 	state *standin.State
 	cloud *standin.Cloud
@@ -49,18 +49,18 @@
 	down  map[int]bool // controllers that were stopped
 }
 
-// newSite starts a cluster whose machines boot and finish tasks within milliseconds.
-func newSite(t testing.TB, change ...func(i int, cfg *settings.Platform, op *settings.Operator)) *site {
+// newTestCluster starts a cluster whose machines boot and finish tasks within milliseconds.
+func newTestCluster(t testing.TB, change ...func(i int, cfg *settings.Platform, op *settings.Operator)) *testCluster {
 	t.Helper()
-	return newSiteOn(t, standin.Options{Lease: 2 * time.Second, Report: 20 * time.Millisecond, Soon: 10 * time.Millisecond,
+	return newTestClusterWith(t, standin.Options{Lease: 2 * time.Second, Report: 20 * time.Millisecond, Soon: 10 * time.Millisecond,
 		Types: []*standin.Type{{Name: "s4", Size: model.Size{CPUs: 4, MemoryGB: 16}, CacheGB: 50, FetchGBPerS: 100, Price: 1, SpotPrice: 0.4,
 			Boot: 10 * time.Millisecond, Zones: []string{"a", "b"}}},
 		Takes: func(*model.Job, int) time.Duration { return 50 * time.Millisecond }}, change...)
 }
 
-// newSiteOn starts a cluster with the given options for its machines. change adjusts each controller's settings. All
-// goroutines of a controller carry its name as the profiling label "controller".
-func newSiteOn(t testing.TB, machines standin.Options, change ...func(i int, platform *settings.Platform, operator *settings.Operator)) *site {
+// newTestClusterWith starts a cluster with the given options for its machines. change adjusts each controller's
+// settings. All goroutines of a controller carry its name as the profiling label "controller".
+func newTestClusterWith(t testing.TB, machines standin.Options, change ...func(i int, platform *settings.Platform, operator *settings.Operator)) *testCluster {
 	t.Helper()
 	operator, err := settings.LoadOperator("")
 	if err != nil {
@@ -68,7 +68,7 @@
 	}
 	operator.Leadership.Hold, operator.Leadership.Poll, operator.Leadership.Grant = time.Second, 100*time.Millisecond, 500*time.Millisecond
 	operator.Fleet.Tick = 100 * time.Millisecond
-	s := &site{TB: t, state: standin.NewState(), addrs: ports(t, 6)}
+	s := &testCluster{TB: t, state: standin.NewState(), addrs: ports(t, 6)}
 	members := map[string]string{}
 	for i := range 3 {
 		members[fmt.Sprintf("n%d", i)] = s.addrs[i]
@@ -96,7 +96,7 @@
 }
 
 // platform returns the settings of a controller.
-func (s *site) platform(i int, machines standin.Options) *settings.Platform {
+func (s *testCluster) platform(i int, machines standin.Options) *settings.Platform {
 	zones := []string{"a", "b", "c"}
 	platform := &settings.Platform{
 		Member: fmt.Sprintf("n%d", i), Zone: zones[i], Listen: s.addrs[i], PeerListen: s.addrs[3+i],
@@ -114,7 +114,7 @@
 }
 
 // start starts a controller.
-func (s *site) start(i int) {
+func (s *testCluster) start(i int) {
 	ctx, stop := context.WithCancel(context.Background())
 	s.stops[i] = stop
 	pprof.Do(ctx, pprof.Labels("controller", s.cfgs[i].Member), func(ctx context.Context) {
@@ -128,7 +128,7 @@
 }
 
 // restart stops a controller and starts it again once its ports are free.
-func (s *site) restart(i int) {
+func (s *testCluster) restart(i int) {
 	s.Helper()
 	s.stops[i]()
 	for _, addr := range []string{s.cfgs[i].Listen, s.cfgs[i].PeerListen} {
@@ -148,8 +148,8 @@
 
 var client = &http.Client{Timeout: 3 * time.Second}
 
-// ask sends a request to the controllers in turn until one answers with a status other than 429 and 503.
-func (s *site) ask(method, path, body string) (int, map[string]any) {
+// request sends a request to the controllers in turn until one answers with a status other than 429 and 503.
+func (s *testCluster) request(method, path, body string) (int, map[string]any) {
 	s.Helper()
 	deadline := time.Now().Add(30 * time.Second)
 	for i := 0; time.Now().Before(deadline); i++ {
@@ -172,14 +172,14 @@
 	return 0, nil
 }
 
-// until polls a job until ok accepts its state.
-func (s *site) until(id string, ok func(v map[string]any) bool) {
+// waitForJob polls a job until ok accepts its state.
+func (s *testCluster) waitForJob(id string, ok func(v map[string]any) bool) {
 	s.Helper()
 	deadline := time.Now().Add(60 * time.Second)
 	var v map[string]any
 	for time.Now().Before(deadline) {
 		var status int
-		if status, v = s.ask("GET", "/api/jobs/"+id, ""); status != 200 {
+		if status, v = s.request("GET", "/api/jobs/"+id, ""); status != 200 {
 			s.Fatalf("job %s: %d %v", id, status, v)
 		}
 		if ok(v) {
@@ -201,7 +201,7 @@
 // of the state service, the loss of the leader, and invalid input. Everything is recorded, and a replay of the
 // recording must make the same decisions.
 func TestControllers(t *testing.T) {
-	s := newSite(t)
+	s := newTestCluster(t)
 	written, check := s.follow()
 	defer check()
 	s.runEveryShape()
@@ -214,34 +214,34 @@
 }
 
 // runEveryShape runs a job of every shape and repeats a submission.
-func (s *site) runEveryShape() {
+func (s *testCluster) runEveryShape() {
 	s.Helper()
 	for id, body := range map[string]string{
 		"array": job("array", "batch", 12), "gang": job("gang", "gang", 3), "stays": job("stays", "standing", 2),
 	} {
-		if status, v := s.ask("POST", "/api/jobs", body); status != 201 {
+		if status, v := s.request("POST", "/api/jobs", body); status != 201 {
 			s.Fatalf("%s: %d %v", id, status, v)
 		}
 	}
-	if status, _ := s.ask("POST", "/api/jobs", job("array", "batch", 12)); status != 200 {
+	if status, _ := s.request("POST", "/api/jobs", job("array", "batch", 12)); status != 200 {
 		s.Errorf("a repeat got %d", status)
 	}
-	s.until("array", done)
-	s.until("gang", done)
-	s.until("stays", func(v map[string]any) bool { return v["stage"] == "running" && s.cloud.Running() == 2 })
+	s.waitForJob("array", done)
+	s.waitForJob("gang", done)
+	s.waitForJob("stays", func(v map[string]any) bool { return v["stage"] == "running" && s.cloud.Running() == 2 })
 }
 
 // reloadSettings reloads settings, which are part of the recording.
-func (s *site) reloadSettings() {
+func (s *testCluster) reloadSettings() {
 	s.Helper()
 	reload := &operatorspb.Request{What: &operatorspb.Request_Reload{Reload: &operatorspb.ReloadRequest{Text: `(marlwood (fleet (idle "9s")))`}}}
-	if out, err := s.operate(nil, reload); err != nil || out.GetReload().Number != 1 || len(out.GetReload().Adopted) != 3 {
+	if out, err := s.requestAsOperator(nil, reload); err != nil || out.GetReload().Number != 1 || len(out.GetReload().Adopted) != 3 {
 		s.Errorf("reload: %v, %v", out, err)
 	}
 }
 
 // surviveOutage checks that no task is lost in an outage of the state service that is shorter than the leader lease.
-func (s *site) surviveOutage() {
+func (s *testCluster) surviveOutage() {
 	s.Helper()
 	s.state.Refuse(true)
 	resp, err := client.Post("http://"+s.addrs[0]+"/api/jobs", "application/json", strings.NewReader(job("late", "batch", 1)))
@@ -255,7 +255,7 @@
 }
 
 // stopKnownLeader stops the leader, which must be known, and returns the indices of the remaining controllers.
-func (s *site) stopKnownLeader() (left []int) {
+func (s *testCluster) stopKnownLeader() (left []int) {
 	s.Helper()
 	leader, token := s.nodes[0].leader()
 	down := s.stopLeader()
@@ -271,13 +271,13 @@
 }
 
 // finishAfterTakeover checks that the remaining controllers run a new job, cancel a running one and know a done one.
-func (s *site) finishAfterTakeover() {
+func (s *testCluster) finishAfterTakeover() {
 	s.Helper()
-	if status, v := s.ask("POST", "/api/jobs", job("after", "batch", 5)); status != 201 {
+	if status, v := s.request("POST", "/api/jobs", job("after", "batch", 5)); status != 201 {
 		s.Fatalf("after the loss: %d %v", status, v)
 	}
-	s.until("after", done)
-	if status, v := s.ask("POST", "/api/jobs/stays/cancel", ""); status != 200 || v["stage"] != "aborted" {
+	s.waitForJob("after", done)
+	if status, v := s.request("POST", "/api/jobs/stays/cancel", ""); status != 200 || v["stage"] != "aborted" {
 		s.Errorf("cancel: %d %v", status, v)
 	}
 	deadline := time.Now().Add(8 * time.Second)
@@ -285,9 +285,9 @@
 		if time.Now().After(deadline) {
 			s.Fatal("tasks of a cancelled job are still running")
 		}
-		s.ask("GET", "/api/jobs/stays", "")
+		s.request("GET", "/api/jobs/stays", "")
 	}
-	if status, v := s.ask("GET", "/api/jobs/array", ""); status != 200 || !done(v) {
+	if status, v := s.request("GET", "/api/jobs/array", ""); status != 200 || !done(v) {
 		s.Errorf("state of the done job: %v", v)
 	}
 	if broken := s.cloud.Broken(); len(broken) > 0 {
@@ -304,7 +304,7 @@
 }
 
 // answerBadInput checks the responses to invalid requests and to a health check.
-func (s *site) answerBadInput(node int) {
+func (s *testCluster) answerBadInput(node int) {
 	s.Helper()
 	for _, c := range []badInput{
 		{"malformed", "NONSENSE\r\n\r\n", 400, true},
@@ -321,7 +321,7 @@
 	}
 }
 
-func (s *site) checkBadInput(node int, c badInput) {
+func (s *testCluster) checkBadInput(node int, c badInput) {
 	s.Helper()
 	conn, err := net.Dial("tcp4", s.addrs[node])
 	if err != nil {
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -17,9 +17,9 @@
 // resolveDependencies releases or cancels jobs whose dependencies have ended. The scheduler also raises
 // the priority of jobs that others wait for.
 func (t *leaderTerm) resolveDependencies(now time.Time) {
-	check := !now.Before(t.nextCheck)
+	check := !now.Before(t.nextDependencyCheck)
 	if check {
-		t.nextCheck = now.Add(dependencyCheckInterval)
+		t.nextDependencyCheck = now.Add(dependencyCheckInterval)
 	}
 	for _, action := range t.scheduler.ResolveDependencies(now, check) {
 		if action.Op == dag.CheckOutcome {
@@ -62,7 +62,7 @@
 		}
 		t.scheduler.DependencyActionDone(t.ctrl.env.Now(), action, ok, revision, gone)
 		if gone {
-			t.nextCheck = time.Time{}
+			t.nextDependencyCheck = time.Time{}
 		}
 	})
 }
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -17,8 +17,8 @@
 }
 
 // stageOf queries the stage of a job.
-func (s *site) stageOf(id string) string {
-	_, v := s.ask("GET", "/api/jobs/"+id, "")
+func (s *testCluster) stageOf(id string) string {
+	_, v := s.request("GET", "/api/jobs/"+id, "")
 	return fmt.Sprint(v["stage"])
 }
 
@@ -26,9 +26,9 @@
 // limits and the leader is stopped. No job starts before its dependencies are done, and a cancellation
 // reaches all direct and indirect dependents, including those submitted later.
 func TestPipelines(t *testing.T) {
-	s := newSite(t)
+	s := newTestCluster(t)
 	submit := func(body string) {
-		if status, v := s.ask("POST", "/api/jobs", body); status != 201 {
+		if status, v := s.request("POST", "/api/jobs", body); status != 201 {
 			t.Fatalf("%s: %d %v", body, status, v)
 		}
 	}
@@ -39,7 +39,7 @@
 	submit(pipelineJob("b", 2, "a"))
 	submit(pipelineJob("c", 2, "a"))
 	submit(pipelineJob("d", 2, "b", "c", "b"))
-	if status, _ := s.ask("POST", "/api/jobs", pipelineJob("x", 1, "a", "unheard")); status != 422 {
+	if status, _ := s.request("POST", "/api/jobs", pipelineJob("x", 1, "a", "unheard")); status != 422 {
 		t.Errorf("a job that depends on an unknown job is answered with status %d", status)
 	}
 	s.state.Limit(2048, 5)
@@ -54,7 +54,7 @@
 }
 
 // checkDiamond checks the order of the jobs a, b, c and d until d is done, and stops the leader when a is done.
-func (s *site) checkDiamond() {
+func (s *testCluster) checkDiamond() {
 	s.Helper()
 	deadline := time.Now().Add(40 * time.Second)
 	leaderStopped := false
@@ -76,15 +76,15 @@
 }
 
 // checkCancellationSpreads cancels a job and checks that its dependents are cancelled too.
-func (s *site) checkCancellationSpreads() {
+func (s *testCluster) checkCancellationSpreads() {
 	s.Helper()
-	if status, v := s.ask("POST", "/api/jobs/stays/cancel", ""); status != 200 || v["stage"] != "aborted" {
+	if status, v := s.request("POST", "/api/jobs/stays/cancel", ""); status != 200 || v["stage"] != "aborted" {
 		s.Fatalf("cancellation is answered with status %d: %v", status, v)
 	}
 	if got := s.stageOf("hopeless2"); got != "aborted" {
 		s.Errorf("after the cancellation hopeless2 is in stage %s", got)
 	}
-	if _, v := s.ask("POST", "/api/jobs", pipelineJob("hopeless3", 1, "hopeless2", "a")); v["stage"] != "aborted" {
+	if _, v := s.request("POST", "/api/jobs", pipelineJob("hopeless3", 1, "hopeless2", "a")); v["stage"] != "aborted" {
 		s.Errorf("a dependent submitted after the cancellation: %v", v)
 	}
 	// No query asks for this job: the leader must cancel it by itself.
--- a/internal/controller/health.go
+++ b/internal/controller/health.go
@@ -25,7 +25,7 @@
 //
 // Guard: when checks were queued with the heartbeats of a whole cluster that came back at once, they were
 // answered late or with 503. The load balancer removed one controller after another, for longer each time,
-// until users could reach none of them (TestBusyLoop).
+// until users could reach none of them (TestHealthChecksDuringHeartbeatBurst).
 func (c *Controller) health(now time.Time) httpwire.Answer {
 	switch reason := c.unavailableReason(now); {
 	case !c.contacts.store.seen() || c.knownTypes() == nil:
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -46,7 +46,7 @@
 func decodeHeartbeat(body []byte) (*model.Heartbeat, error) {
 	// Guard: the decoder does not check the encoding of strings, and a string that is not UTF-8 cannot be
 	// sent to the leader. One such heartbeat would block all of an owner's responses to the leader
-	// (FuzzReadReport).
+	// (FuzzDecodeHeartbeat).
 	if !utf8.Valid(body) {
 		return nil, errors.New("not a report: not UTF-8")
 	}
--- a/internal/controller/job_parts.go
+++ b/internal/controller/job_parts.go
@@ -9,7 +9,7 @@
 	"github.com/marlwood/marlwood/internal/store"
 )
 
-// partRevisions maps jobs and the shards of their completion bitmaps to the last known revision of each
+// shardRevisions maps jobs and the shards of their completion bitmaps to the last known revision of each
 // shard. A shard that is not stored has no entry: its key does not exist. It is not safe for concurrent use.
 //
 // Guard: a write that contains only shards does not change the revision of the job's record. When such a
@@ -18,9 +18,9 @@
 //
 // Versions without these revisions have only the record's revision as a precondition for writing shards;
 // their late writes fail because of their fencing token.
-type partRevisions map[string]map[string]uint64
+type shardRevisions map[string]map[string]uint64
 
-func (p partRevisions) set(job, part string, revision uint64) {
+func (p shardRevisions) set(job, part string, revision uint64) {
 	if p[job] == nil {
 		p[job] = map[string]uint64{}
 	}
@@ -28,7 +28,7 @@
 }
 
 // load records the revisions of stored shards.
-func (p partRevisions) load(items []store.Item) {
+func (p shardRevisions) load(items []store.Item) {
 	for _, item := range items {
 		rest := strings.TrimPrefix(item.Key, placement.PartPrefix)
 		if i := strings.LastIndexByte(rest, '/'); i >= 0 {
@@ -38,25 +38,25 @@
 }
 
 // retain removes the jobs that are not open.
-func (p partRevisions) retain(isOpen func(job string) bool) {
+func (p shardRevisions) retain(isOpen func(job string) bool) {
 	maps.DeleteFunc(p, func(job string, _ map[string]uint64) bool { return !isOpen(job) })
 }
 
 // written records that a write was executed at a revision.
-func (p partRevisions) written(write *placement.JobWrite, revision uint64) {
+func (p shardRevisions) written(write *placement.JobWrite, revision uint64) {
 	for part := range write.Parts {
 		p.set(write.ID, part, revision)
 	}
 }
 
 // reread replaces the revisions of a job's shards by those that were read after a write.
-func (p partRevisions) reread(write *placement.JobWrite, items []store.Item) {
+func (p shardRevisions) reread(write *placement.JobWrite, items []store.Item) {
 	delete(p, write.ID)
 	p.load(items)
 }
 
 // jobWriteTxn adds a job's write to a transaction that already has the leader's precondition.
-func jobWriteTxn(txn store.Txn, write *placement.JobWrite, parts partRevisions) store.Txn {
+func jobWriteTxn(txn store.Txn, write *placement.JobWrite, parts shardRevisions) store.Txn {
 	record := placement.JobPrefix + write.ID
 	txn.Preconditions = append(txn.Preconditions, store.Precondition{Key: record, Revision: write.Stamp})
 	if write.Over != nil {
--- a/internal/controller/job_parts_test.go
+++ b/internal/controller/job_parts_test.go
@@ -85,13 +85,13 @@
 	id       string
 	token    uint64
 	revision uint64 // of its record
-	parts    partRevisions
+	parts    shardRevisions
 }
 
 // newStoredJob stores a job, and its shards if withShards is set.
 func newStoredJob(t testing.TB, withShards bool) *storedJob {
 	t.Helper()
-	j := &storedJob{TB: t, kv: simulation.NewStore(simulation.New(1), 16), id: "req-000412", parts: partRevisions{}}
+	j := &storedJob{TB: t, kv: simulation.NewStore(simulation.New(1), 16), id: "req-000412", parts: shardRevisions{}}
 	j.token = j.must(store.Txn{Writes: []store.Write{store.Put(leadership.Key, "n0")}})
 	j.revision = j.must(store.Txn{Writes: []store.Write{store.Put(placement.JobPrefix+j.id, "")}})
 	if withShards {
@@ -149,7 +149,7 @@
 // TestShardRevisionsOfOpenJobs checks that only the shard revisions of open jobs are kept, and that they
 // become the preconditions of a write.
 func TestShardRevisionsOfOpenJobs(t *testing.T) {
-	p := partRevisions{}
+	p := shardRevisions{}
 	p.load([]store.Item{{Key: "part/a/b/t64", Revision: 7}, {Key: "part/c/2", Revision: 8}, {Key: "part/odd", Revision: 9}})
 	if p["a/b"]["t64"] != 7 || p["c"]["2"] != 8 || len(p) != 2 {
 		t.Errorf("loaded revisions %v", p)
@@ -214,9 +214,9 @@
 	return slices.ContainsFunc(w.unanswered, func(key string) bool { return w.state.Revision(key) != w.before[key] })
 }
 
-// newSiteOfHugeArrays returns a site whose machines run arrays of thousands of short tasks and whose state
+// newSiteOfHugeArrays returns a cluster whose machines run arrays of thousands of short tasks and whose state
 // service accepts only small values, so that completions are written to several shards each second.
-func newSiteOfHugeArrays(t testing.TB) *site {
+func newSiteOfHugeArrays(t testing.TB) *testCluster {
 	t.Helper()
 	machineType := &standin.Type{Name: "s64", Size: model.Size{CPUs: 64, MemoryGB: 1024}, CacheGB: 50, FetchGBPerS: 100, Price: 1, SpotPrice: 0.4,
 		Boot: 10 * time.Millisecond, Zones: []string{"a", "b"}, Limit: 10}
@@ -227,7 +227,7 @@
 		Types:  []*standin.Type{machineType},
 		Takes:  func(*model.Job, int) time.Duration { return 100 * time.Millisecond },
 	}
-	return newSiteOn(t, machines, func(_ int, cfg *settings.Platform, op *settings.Operator) {
+	return newTestClusterWith(t, machines, func(_ int, cfg *settings.Platform, op *settings.Operator) {
 		cfg.ValueBytes, cfg.WideValueBytes, cfg.TxnOps = 1024, 1024, 2
 		op.Placement.TasksPerRound = 2000
 	})
@@ -249,7 +249,7 @@
 			writes := &shardWrites{state: s.state, fate: c.fate, before: map[string]uint64{}}
 			s.state.Fates(writes.decide)
 			isDone := func(id string) bool {
-				_, v := s.ask("GET", "/api/jobs/"+id, "")
+				_, v := s.request("GET", "/api/jobs/"+id, "")
 				return done(v)
 			}
 			// The number of completions in a write depends on the speed of the computer, so jobs are submitted
@@ -260,7 +260,7 @@
 				s.state.Deliver()
 				last = fmt.Sprintf("huge-%d", i)
 				body := strings.Replace(job(last, "batch", tasks), `"cpus":2`, `"cpus":0.5`, 1)
-				if status, v := s.ask("POST", "/api/jobs", body); status != 201 {
+				if status, v := s.request("POST", "/api/jobs", body); status != 201 {
 					t.Fatalf("%d %v", status, v)
 				}
 				for !writes.followed() && !isDone(last) {
--- a/internal/controller/job_watch.go
+++ b/internal/controller/job_watch.go
@@ -61,8 +61,8 @@
 // resyncJobs replaces the scheduler's jobs by a full list after changes were missed.
 func (t *leaderTerm) resyncJobs(jobs []store.Item) {
 	t.scheduler.ReplaceJobs(t.ctrl.env.Now(), jobs)
-	t.partRevisions.retain(t.isOpen)
-	t.nextCheck = time.Time{}
+	t.shardRevisions.retain(t.isOpen)
+	t.nextDependencyCheck = time.Time{}
 	t.startRoundSoon()
 }
 
@@ -77,10 +77,10 @@
 			t.ctrl.log.Debug("job record deleted", "job", job)
 			t.noteCancelled(job)
 		}
-		delete(t.partRevisions, job)
+		delete(t.shardRevisions, job)
 	}
 	t.scheduler.ApplyJobChanges(t.ctrl.env.Now(), events)
-	t.nextCheck = time.Time{}
+	t.nextDependencyCheck = time.Time{}
 	t.startRoundSoon()
 }
 
--- a/internal/controller/job_writes.go
+++ b/internal/controller/job_writes.go
@@ -17,7 +17,7 @@
 func (t *leaderTerm) writeJobs(now time.Time) {
 	maxParts := min(t.ctrl.cfg.TxnOps-1, maxTxnBytes/t.ctrl.cfg.WideValueBytes-1)
 	for _, write := range t.scheduler.DueWrites(now, max(1, maxParts)) {
-		txn := jobWriteTxn(t.newTxn(), write, t.partRevisions)
+		txn := jobWriteTxn(t.newTxn(), write, t.shardRevisions)
 		// Guard: when small jobs arrived fast, recording the start of each took a third of the leader's write
 		// budget, and the records of their completion waited behind those writes.
 		txn.LowPriority = write.DisplayOnly()
@@ -86,10 +86,10 @@
 // jobWriteDone applies the result of a write to the scheduler. It runs on the event loop.
 func (t *leaderTerm) jobWriteDone(write *placement.JobWrite, done jobWriteResult) {
 	if done.partsRead && t.isOpen(write.ID) {
-		t.partRevisions.reread(write, done.parts)
+		t.shardRevisions.reread(write, done.parts)
 	}
 	if done.stored && t.isOpen(write.ID) {
-		t.partRevisions.written(write, done.revision)
+		t.shardRevisions.written(write, done.revision)
 	}
 	t.scheduler.WriteDone(t.ctrl.env.Now(), write, t.jobWriteOutcome(write, done), done.revision, done.current)
 	if write.Claim > 0 && t.rounds.current == nil {
--- a/internal/controller/known_test.go
+++ b/internal/controller/known_test.go
@@ -38,19 +38,19 @@
 
 // submitJobs submits the jobs, and one more that runs to its end. The quota of the jobs' team allows only one
 // of them to run; the others stay queued.
-func submitJobs(s *site) {
-	s.ask("POST", "/api/jobs", job("first", "batch", 1))
+func submitJobs(s *testCluster) {
+	s.request("POST", "/api/jobs", job("first", "batch", 1))
 	eachJob(func(n int) {
 		body := strings.Replace(job(fmt.Sprintf("req-%d", n), "standing", 1), `"t"`, `"small"`, 1)
-		if status, v := s.ask("POST", "/api/jobs", body); status != 201 && status != 200 {
+		if status, v := s.request("POST", "/api/jobs", body); status != 201 && status != 200 {
 			s.Errorf("req-%d: %d %v", n, status, v)
 		}
 	})
-	s.until("first", done)
+	s.waitForJob("first", done)
 }
 
 // isHealthy reports whether a controller passes its health check.
-func (s *site) isHealthy(i int) bool {
+func (s *testCluster) isHealthy(i int) bool {
 	resp, err := client.Get("http://" + s.addrs[i] + "/up")
 	if err == nil {
 		_ = resp.Body.Close()
@@ -59,7 +59,7 @@
 }
 
 // healthy returns the indexes of the controllers that pass their health check.
-func (s *site) healthy() (healthy []int) {
+func (s *testCluster) healthy() (healthy []int) {
 	for i := range 3 {
 		if s.isHealthy(i) {
 			healthy = append(healthy, i)
@@ -70,7 +70,7 @@
 
 // checkIsolated checks that a controller that has lost the state service soon fails its health check, and
 // still answers queries without delay.
-func (s *site) checkIsolated(i int, since time.Time) {
+func (s *testCluster) checkIsolated(i int, since time.Time) {
 	s.Helper()
 	for s.isHealthy(i) {
 		if time.Since(since) > 20*time.Second {
@@ -88,7 +88,7 @@
 
 // queryBalanced queries a job through a simulated load balancer that sends one query in twenty to any
 // controller, whether healthy or not. It reports whether the query succeeded.
-func (s *site) queryBalanced(healthy []int, n int) bool {
+func (s *testCluster) queryBalanced(healthy []int, n int) bool {
 	i := healthy[n%len(healthy)]
 	if rand.IntN(20) == 0 {
 		i = rand.IntN(3)
@@ -106,7 +106,7 @@
 
 // awaitEveryJob queries each job until a query succeeds. It fails the test if a job has no answer
 // answeredWithin after faultEnd.
-func (s *site) awaitEveryJob(faultEnd time.Time, query func(n int) bool) {
+func (s *testCluster) awaitEveryJob(faultEnd time.Time, query func(n int) bool) {
 	s.Helper()
 	eachJob(func(n int) {
 		for !query(n) {
@@ -124,7 +124,7 @@
 // about every job in time, under ten times the usual query load.
 func TestJobQueriesAfterLeaderLoss(t *testing.T) {
 	var link *standin.Link
-	s := newSite(t, func(i int, cfg *settings.Platform, _ *settings.Operator) {
+	s := newTestCluster(t, func(i int, cfg *settings.Platform, _ *settings.Operator) {
 		cfg.Teams["small"] = model.Team{Name: "small", Limit: model.Size{CPUs: 2}}
 		if i == 2 {
 			l, err := standin.NewLink("127.0.0.1:0", cfg.StateAddr)
@@ -183,7 +183,7 @@
 // leader has loaded the records is logged but not bounded, because it depends on chance.
 func TestJobQueriesWithSlowStore(t *testing.T) {
 	const slow, length, wait = 3 * time.Second, 30 * time.Second, 2 * time.Second
-	s := newSite(t, func(_ int, cfg *settings.Platform, op *settings.Operator) {
+	s := newTestCluster(t, func(_ int, cfg *settings.Platform, op *settings.Operator) {
 		cfg.Teams["small"] = model.Team{Name: "small", Limit: model.Size{CPUs: 2}}
 		op.Leadership.Hold, op.Leadership.Poll, op.Leadership.Grant = 5*time.Second, time.Second, time.Second
 		cfg.CancelWait = cfg.Lease + 20*time.Second // the same margin as in the deployments
--- a/internal/controller/leader_term.go
+++ b/internal/controller/leader_term.go
@@ -27,20 +27,20 @@
 	ownership
 	rounds samplingRounds
 
-	nextFleet       time.Time
-	cloudCalls      cloudCalls
-	nextSummary     time.Time // when the cluster is logged next
-	nextCounts      time.Time // when job counts are published next
-	nextCheck       time.Time // when the outcomes of dependencies are checked next
-	machineRecords  *machinerecords.Ledger
-	quotas          *quotaExchange // nil if there is only one region
-	usage           usageAccounts
-	partRevisions   partRevisions
-	cancelledJobs   map[string]time.Time // by job: request time of the last view of the jobs before its cancellation
-	expiringRecords map[string]uint64    // revisions at which the scheduler knows records that are to be deleted
-	drains          drainRecords
-	operatorRelist  relistSchedule // schedule for listing drains and settings again
-	pendingReload   *pendingReload // reload in progress; nil if there is none
+	nextAutoscaling     time.Time
+	cloudCalls          cloudCalls
+	nextSummary         time.Time // when the cluster is logged next
+	nextCounts          time.Time // when job counts are published next
+	nextDependencyCheck time.Time // when the outcomes of dependencies are checked next
+	machineRecords      *machinerecords.Ledger
+	quotas              *quotaExchange // nil if there is only one region
+	usage               usageAccounts
+	shardRevisions      shardRevisions
+	cancelledJobs       map[string]time.Time // by job: request time of the last view of the jobs before its cancellation
+	expiringRecords     map[string]uint64    // revisions at which the scheduler knows records that are to be deleted
+	drains              drainRecords
+	operatorRelist      relistSchedule // schedule for listing drains and settings again
+	pendingReload       *pendingReload // reload in progress; nil if there is none
 }
 
 // newLeaderTerm begins a term under a token. It takes two random numbers from the environment for the scheduler.
@@ -54,13 +54,13 @@
 		began:           now,
 		ownership:       ownership{reachability: ownerReachability{}},
 		cloudCalls:      newCloudCalls(now),
-		partRevisions:   partRevisions{},
+		shardRevisions:  shardRevisions{},
 		cancelledJobs:   map[string]time.Time{},
 		expiringRecords: map[string]uint64{},
 		drains:          newDrainRecords(),
 	}
 	t.scheduler = scheduler.New(scheduler.Params{
-		Config:   coreConfig(ctrl.cfg, ctrl.settings),
+		Config:   schedulerConfig(ctrl.cfg, ctrl.settings),
 		Identity: scheduler.Identity{Member: ctrl.cfg.Member, Boot: ctrl.bootID, Token: token},
 		Types:    ctrl.knownTypes(),
 		Seed:     [2]uint64{ctrl.env.Random(), ctrl.env.Random()},
@@ -103,7 +103,7 @@
 func (t *leaderTerm) tick(now time.Time) {
 	t.advanceRounds(now)
 	t.watchOwners(now)
-	t.withdrawUsage(now)
+	t.clearUsageMetrics(now)
 	if !t.loaded {
 		return
 	}
@@ -116,8 +116,8 @@
 	t.writeMachineRecords(now)
 	t.flushAccounts(now)
 	t.exchangeQuotas(now)
-	if !now.Before(t.nextFleet) {
-		t.nextFleet = now.Add(t.ctrl.settings.Fleet.Tick)
+	if !now.Before(t.nextAutoscaling) {
+		t.nextAutoscaling = now.Add(t.ctrl.settings.Fleet.Tick)
 		t.runAutoscaler(now)
 	}
 	t.reconcileDeferredList(now)
--- a/internal/controller/links_test.go
+++ b/internal/controller/links_test.go
@@ -32,9 +32,9 @@
 	}
 }
 
-// leading returns a term of n0 under token 7, its peer n1, which owns the pool big in zone a, and the ID of an order.
-// Machine m1 of that pool is up, and the order starts a task on it that no heartbeat shows yet.
-func leading(t testing.TB) (*leaderTerm, *peerProgress, uint64) {
+// newLeadingTerm returns a term of n0 under token 7, its peer n1, which owns the pool big in zone a, and the ID of an
+// order. Machine m1 of that pool is up, and the order starts a task on it that no heartbeat shows yet.
+func newLeadingTerm(t testing.TB) (*leaderTerm, *peerProgress, uint64) {
 	t.Helper()
 	operator, err := settings.LoadOperator("")
 	if err != nil {
@@ -57,7 +57,7 @@
 	receive := func(resp *peerspb.RoundResponse) { term.handleRoundResponse(peer, term.token, time.Now(), resp, nil) }
 	receive(&peerspb.RoundResponse{Token: 7, Boot: "first"})
 	term.assignOwners(now)
-	receive(says("first", 7, 0))
+	receive(roundResponse("first", 7, 0))
 	term.scheduler.MachinesRecorded(now, []string{"m1"}, 3)
 	term.scheduler.Place(now, nil)
 	v, _ := json.Marshal(placement.JobRecord{Job: &model.Job{ID: "j", Team: "t", Shape: model.Array, Priority: model.Normal, Tasks: 1,
@@ -71,12 +71,12 @@
 		t.Fatalf("orders %v", orders)
 	}
 	id := orders[len(orders)-1].Id
-	receive(says("first", 7, id, id)) // n1 has received the order and is sending it to m1 in a direct call
+	receive(roundResponse("first", 7, id, id)) // n1 has received the order and is sending it to m1 in a direct call
 	return term, peer, id
 }
 
-// says returns a response of n1 about m1, on which no task is known to run.
-func says(boot string, token, applied uint64, undecided ...uint64) *peerspb.RoundResponse {
+// roundResponse returns a response of n1 about m1, on which no task is known to run.
+func roundResponse(boot string, token, applied uint64, undecided ...uint64) *peerspb.RoundResponse {
 	return &peerspb.RoundResponse{Token: token, Boot: boot, Applied: applied, Change: applied + 1, Machines: []*peerspb.Machine{{Name: "m1", Addr: "x:1",
 		Kind: &peerspb.Kind{Type: "big", Zone: "a"}, Phase: "current", Session: 1, Seq: applied + 1, NoticeMs: -1, Undecided: undecided}}}
 }
@@ -84,20 +84,20 @@
 // A restarted owner's reports about orders and machines must have no effect before the fresh token, whatever else
 // fails meanwhile, because a start that its earlier process sent to a worker may still be executed.
 func TestRestartedOwnerIsNotTrusted(t *testing.T) {
-	expired := says("second", 7, 99)
+	expired := roundResponse("second", 7, 99)
 	expired.Machines[0].Phase = "expired"
 	for _, c := range []struct {
 		name  string
 		steps []*peerspb.RoundResponse // nil: no answer
 	}{
-		{"it reports a later order as the last of all", []*peerspb.RoundResponse{says("second", 7, 99)}},
-		{"a message goes unanswered first", []*peerspb.RoundResponse{nil, says("second", 7, 99)}},
-		{"several messages go unanswered first", []*peerspb.RoundResponse{nil, nil, nil, says("second", 7, 99)}},
-		{"it restarts again", []*peerspb.RoundResponse{says("third", 7, 0), says("third", 7, 99)}},
+		{"it reports a later order as the last of all", []*peerspb.RoundResponse{roundResponse("second", 7, 99)}},
+		{"a message goes unanswered first", []*peerspb.RoundResponse{nil, roundResponse("second", 7, 99)}},
+		{"several messages go unanswered first", []*peerspb.RoundResponse{nil, nil, nil, roundResponse("second", 7, 99)}},
+		{"it restarts again", []*peerspb.RoundResponse{roundResponse("third", 7, 0), roundResponse("third", 7, 99)}},
 		{"it reports a machine as expired that has sent it no heartbeat", []*peerspb.RoundResponse{expired}},
 	} {
-		term, peer, id := leading(t)
-		for _, resp := range append([]*peerspb.RoundResponse{says("second", 7, 0)}, c.steps...) {
+		term, peer, id := newLeadingTerm(t)
+		for _, resp := range append([]*peerspb.RoundResponse{roundResponse("second", 7, 0)}, c.steps...) {
 			err := error(nil)
 			if resp == nil {
 				err = errors.New("no answer")
@@ -116,7 +116,7 @@
 			t.Errorf("%s: the owner still counts as restarted under a fresh token", c.name)
 		}
 		boot := peer.bootID
-		term.handleRoundResponse(peer, 8, time.Now(), says(boot, 8, id), nil)
+		term.handleRoundResponse(peer, 8, time.Now(), roundResponse(boot, 8, id), nil)
 		if term.scheduler.Jobs().At("j").Bound() != 0 {
 			t.Errorf("%s: a report under the fresh token does not decide the start", c.name)
 		}
@@ -127,7 +127,7 @@
 // that one is not counted, the leader considers the lease expired while the process still answers under it.
 func TestEveryAnswerCountsAsLeaseStart(t *testing.T) {
 	for _, boot := range []string{"first", "second"} {
-		term, peer, _ := leading(t)
+		term, peer, _ := newLeadingTerm(t)
 		peer.leaseEnd = time.Time{}
 		before := time.Now()
 		term.handleRoundResponse(peer, 7, before, &peerspb.RoundResponse{Token: 7, Boot: boot, ClockNs: 5}, nil)
@@ -145,7 +145,7 @@
 		stamp uint64 // revision of the leader key when first read; 0: not read yet
 		token uint64 // token in the response; 0: no response
 	}{{"key not read yet", 0, 0}, {"a later leader holds the key", 9, 9}, {"the sender holds the key", 7, 7}} {
-		term, _, _ := leading(t)
+		term, _, _ := newLeadingTerm(t)
 		ctrl, err := New(term.ctrl.cfg, term.ctrl.fileSettings, slog.New(slog.DiscardHandler))
 		if err != nil {
 			t.Fatal(err)
@@ -187,7 +187,7 @@
 		next bool // whether another term begins before the answer arrives
 		busy bool
 	}{{"the same term", false, false}, {"the next term", true, true}} {
-		term, peer, _ := leading(t)
+		term, peer, _ := newLeadingTerm(t)
 		ctrl, held := term.ctrl, heldPeer{make(chan *peerspb.RoundResponse)}
 		now := time.Now()
 		ctrl.elector.KeyRead(now, now, true, leadership.LeaderRecord{Member: "n0", Boot: ctrl.bootID, Attempt: 1}, 7)
@@ -222,7 +222,7 @@
 		{"a peer does not come", 0, 0, peerStartWait, "n0"},
 		{"the leader has run for a while", time.Minute, 300 * time.Millisecond, 0, "n0"},
 	} {
-		term, peer, _ := leading(t)
+		term, peer, _ := newLeadingTerm(t)
 		ctrl := term.ctrl
 		now := ctrl.startedAt.Add(c.uptime)
 		peer.lastAnswer = time.Time{}
@@ -249,7 +249,7 @@
 // A takeover waits for a machine without heartbeats only as long as an existing machine may take to send one. After
 // that the leader terminates the machines that the cloud no longer lists.
 func TestTakeoverTerminatesUnlistedMachines(t *testing.T) {
-	term, _, _ := leading(t)
+	term, _, _ := newLeadingTerm(t)
 	now := time.Now()
 	term = newLeaderTerm(term.ctrl, 9, now)
 	var records []store.Item
@@ -263,7 +263,7 @@
 	}
 	term.scheduler.Load(now, scheduler.StoredRecords{Machines: records})
 	list := []autoscaler.CloudMachine{{Name: "m1", Pool: model.Pool{Type: "big", Zone: "a"}, Age: time.Minute}}
-	after := newLeaderUnheard(term.ctrl.cfg)
+	after := firstHeartbeatTimeout(term.ctrl.cfg)
 	if missing := term.scheduler.ReconcileList(now.Add(after/2), list); len(missing) > 0 {
 		t.Errorf("after %v %v are terminated, which may still send their first heartbeat", after/2, missing)
 	}
@@ -276,7 +276,7 @@
 	term.loaded, term.machineRecords = true, machinerecords.New(machinerecords.Options{MaxOps: 4, MaxValueBytes: 1024, MaxTxnBytes: 4096}, 10)
 	term.scheduler.Load(now.Add(200*time.Millisecond), scheduler.StoredRecords{Machines: records})
 	term.assignOwners(now.Add(700 * time.Millisecond))
-	term.cloudCalls.deferredList, term.nextFleet, term.rounds.next, term.cloudCalls.inFlight = list, now.Add(time.Hour), now.Add(time.Hour), true
+	term.cloudCalls.deferredList, term.nextAutoscaling, term.rounds.next, term.cloudCalls.inFlight = list, now.Add(time.Hour), now.Add(time.Hour), true
 	for d := 700 * time.Millisecond; term.cloudCalls.deferredList != nil; d += tick {
 		if d > after+time.Second {
 			t.Fatalf("the deferred list is not reconciled after %v", d)
--- a/internal/controller/load_test.go
+++ b/internal/controller/load_test.go
@@ -33,7 +33,7 @@
 func BenchmarkLoad(b *testing.B) {
 	const machines, users, length = 240, 150, 20 * time.Second
 	for b.Loop() {
-		s := newSiteOn(b, standin.Options{Lease: 26 * time.Second, Report: 4 * time.Second, Soon: 500 * time.Millisecond,
+		s := newTestClusterWith(b, standin.Options{Lease: 26 * time.Second, Report: 4 * time.Second, Soon: 500 * time.Millisecond,
 			Types: []*standin.Type{{Name: "s8", Size: model.Size{CPUs: 8, MemoryGB: 32}, CacheGB: 50, FetchGBPerS: 100, Price: 1, SpotPrice: 0.4,
 				Boot: 500 * time.Millisecond, Zones: []string{"a", "b", "c"}, Limit: machines / 6}},
 			Takes: func(_ *model.Job, i int) time.Duration { return time.Duration(4+i%5) * time.Second }},
@@ -64,7 +64,7 @@
 					}
 					for k := 0; k < 5 && time.Now().Before(end); k++ {
 						time.Sleep(2 * time.Second)
-						s.ask("GET", "/api/jobs/"+id, "")
+						s.request("GET", "/api/jobs/"+id, "")
 					}
 				}
 			})
@@ -82,7 +82,7 @@
 // bytes to encoding its answer. Each machine sends one every few seconds, and the garbage collector shares
 // the controller's fraction of a core.
 func TestAllocationsOfAHeartbeat(t *testing.T) {
-	term, _, _ := leading(t)
+	term, _, _ := newLeadingTerm(t)
 	var pieces []string
 	for i := range 4 {
 		pieces = append(pieces, fmt.Sprintf(`{"piece":"req-000412/%d","try":2,"stage":"running"}`, i))
@@ -120,11 +120,11 @@
 		runtime.ReadMemStats(&mem)
 		return float64(mem.HeapAlloc) / (1 << 20)
 	}
-	term, peer, _ := leading(t)
+	term, peer, _ := newLeadingTerm(t)
 	draw := rand.New(rand.NewPCG(1, 2))
 	before := liveMB()
 	var hostItems, jobItems []store.Item
-	answer := says("first", 7, 5)
+	answer := roundResponse("first", 7, 5)
 	answer.Machines = nil
 	pool := model.Pool{Type: "big", Zone: "a"}
 	for i := range machines {
--- a/internal/controller/loading.go
+++ b/internal/controller/loading.go
@@ -153,8 +153,8 @@
 		Drains:         drains,
 		UsageMark:      records.watermark,
 	})
-	t.partRevisions.load(records.parts)
-	t.partRevisions.retain(t.isOpen)
+	t.shardRevisions.load(records.parts)
+	t.shardRevisions.retain(t.isOpen)
 	t.loaded = true
 	t.assignInitialOwners(now)
 	t.rounds.next = now
--- a/internal/controller/operators.go
+++ b/internal/controller/operators.go
@@ -12,8 +12,8 @@
 
 // forwarder is a peer connection over which operators' requests can be forwarded.
 type forwarder interface {
-	// Pass forwards a request, and returns the answer of the controller at the other end.
-	Pass(ctx context.Context, request *operatorspb.Request) (*operatorspb.Reply, error)
+	// Forward passes a request on, and returns the answer of the controller at the other end.
+	Forward(ctx context.Context, request *operatorspb.Request) (*operatorspb.Reply, error)
 }
 
 // operatorReply receives the reply to an operator's request, or a gRPC status error. It is called once.
@@ -57,7 +57,7 @@
 			continue
 		}
 		request.Hops++
-		c.env.Go(func() { reply(link.Pass(ctx, request)) })
+		c.env.Go(func() { reply(link.Forward(ctx, request)) })
 		return
 	}
 	if request.GetStatus() != nil { // controllers that are not the leader also answer this
--- a/internal/controller/operators_test.go
+++ b/internal/controller/operators_test.go
@@ -15,9 +15,9 @@
 	"github.com/marlwood/marlwood/internal/store"
 )
 
-// operate sends an operator's request to the controllers that are up, in turn, until one gives a final answer: it
-// retries errors that may be temporary.
-func (s *site) operate(down map[int]bool, r *operatorspb.Request) (*operatorspb.Reply, error) {
+// requestAsOperator sends an operator's request to the controllers that are up, in turn, until one gives a final
+// answer: it retries errors that may be temporary.
+func (s *testCluster) requestAsOperator(down map[int]bool, r *operatorspb.Request) (*operatorspb.Reply, error) {
 	deadline := time.Now().Add(30 * time.Second)
 	for i := 0; ; i++ {
 		if down[i%3] {
@@ -39,8 +39,8 @@
 	}
 }
 
-func (s *site) drains() []*operatorspb.Drain {
-	out, err := s.operate(s.down, &operatorspb.Request{What: &operatorspb.Request_Drains{Drains: &operatorspb.DrainsRequest{}}})
+func (s *testCluster) drains() []*operatorspb.Drain {
+	out, err := s.requestAsOperator(s.down, &operatorspb.Request{What: &operatorspb.Request_Drains{Drains: &operatorspb.DrainsRequest{}}})
 	if err != nil {
 		s.Fatal(err)
 	}
@@ -57,13 +57,13 @@
 // kept by the next leader, is refused if its target does not exist or its capacity is needed, and is ended by an
 // undrain. No task starts on a drained machine, and a gang that has a member there completes whole.
 func TestDrainsAndQueriesAcrossTakeover(t *testing.T) {
-	s := newSite(t)
+	s := newTestCluster(t)
 	for id, body := range map[string]string{"stays": job("stays", "standing", 3), "gang": job("gang", "gang", 3)} {
-		if status, v := s.ask("POST", "/api/jobs", body); status != 201 {
+		if status, v := s.request("POST", "/api/jobs", body); status != 201 {
 			t.Fatalf("%s: %d %v", id, status, v)
 		}
 	}
-	s.until("stays", func(v map[string]any) bool { return v["stage"] == "running" && s.cloud.Running() >= 3 })
+	s.waitForJob("stays", func(v map[string]any) bool { return v["stage"] == "running" && s.cloud.Running() >= 3 })
 	s.checkRefusedDrains()
 	busy := s.machineOf("stays")
 	s.checkDrainRecorded(busy)
@@ -76,11 +76,11 @@
 	if len(rows) != 1 || rows[0].Target != "node/"+busy || !rows[0].Keep || rows[0].Reason != "fan" {
 		t.Errorf("%v", rows)
 	}
-	if status, v := s.ask("POST", "/api/jobs", job("more", "batch", 12)); status != 201 {
+	if status, v := s.request("POST", "/api/jobs", job("more", "batch", 12)); status != 201 {
 		t.Fatalf("%d %v", status, v)
 	}
-	s.until("more", done)
-	s.until("gang", done)
+	s.waitForJob("more", done)
+	s.waitForJob("gang", done)
 	if !slices.Contains(s.cloud.Machines(), busy) {
 		t.Error("a drained machine that was to be kept was returned")
 	}
@@ -93,7 +93,7 @@
 }
 
 // checkRefusedDrains checks that invalid drains, and a drain of all capacity, are refused.
-func (s *site) checkRefusedDrains() {
+func (s *testCluster) checkRefusedDrains() {
 	s.Helper()
 	for _, c := range []struct {
 		name    string
@@ -110,14 +110,14 @@
 		{"a reason of two lines", &operatorspb.DrainRequest{Zone: "a", Reason: "x\ny"}, codes.InvalidArgument},
 		{"every machine", &operatorspb.DrainRequest{Type: "s4"}, codes.FailedPrecondition},
 	} {
-		if _, err := s.operate(nil, drainOf(c.request)); code(err) != c.want {
+		if _, err := s.requestAsOperator(nil, drainOf(c.request)); code(err) != c.want {
 			s.Errorf("%s: %v", c.name, err)
 		}
 	}
 }
 
 // machineOf returns the name of a machine that runs a task of a job.
-func (s *site) machineOf(job string) string {
+func (s *testCluster) machineOf(job string) string {
 	s.Helper()
 	var busy string
 	for _, name := range s.cloud.Machines() {
@@ -133,10 +133,10 @@
 
 // checkDrainRecorded checks that a drain is recorded when it is answered, that the same request is accepted again, and
 // that a different request for the same machine is refused.
-func (s *site) checkDrainRecorded(machine string) {
+func (s *testCluster) checkDrainRecorded(machine string) {
 	s.Helper()
 	request := &operatorspb.DrainRequest{Node: machine, DeadlineS: 1, Keep: true, Reason: "fan"}
-	out, err := s.operate(nil, drainOf(request))
+	out, err := s.requestAsOperator(nil, drainOf(request))
 	if err != nil || out.GetDrain().Drain.Target != "node/"+machine || out.GetDrain().Drain.Who != "anna" {
 		s.Fatalf("%v, %v", out, err)
 	}
@@ -145,17 +145,17 @@
 	}
 	// The same request is accepted again; a different one is refused.
 	repeated := &operatorspb.DrainRequest{Node: machine, DeadlineS: 1, Keep: true, Reason: "fan"}
-	if _, err := s.operate(nil, drainOf(repeated)); err != nil {
+	if _, err := s.requestAsOperator(nil, drainOf(repeated)); err != nil {
 		s.Errorf("repeated drain: %v", err)
 	}
 	another := &operatorspb.DrainRequest{Node: machine, Reason: "other"}
-	if _, err := s.operate(nil, drainOf(another)); code(err) != codes.AlreadyExists {
+	if _, err := s.requestAsOperator(nil, drainOf(another)); code(err) != codes.AlreadyExists {
 		s.Errorf("different drain of the same machine: %v", err)
 	}
 }
 
 // awaitDrained waits until no task runs on a drained machine, and checks that no new task starts there.
-func (s *site) awaitDrained(machine string) {
+func (s *testCluster) awaitDrained(machine string) {
 	s.Helper()
 	before := map[string]bool{}
 	for _, task := range s.cloud.On(machine) {
@@ -176,7 +176,7 @@
 }
 
 // checkDrainInOutage checks that a drain is refused while the state service refuses requests.
-func (s *site) checkDrainInOutage() {
+func (s *testCluster) checkDrainInOutage() {
 	s.Helper()
 	s.state.Refuse(true)
 	defer s.state.Refuse(false)
@@ -187,10 +187,10 @@
 }
 
 // checkUndrain checks that an undrain ends the only drain, and that a second undrain is refused.
-func (s *site) checkUndrain(machine string) {
+func (s *testCluster) checkUndrain(machine string) {
 	s.Helper()
 	undrain := func() error {
-		_, err := s.operate(s.down, &operatorspb.Request{What: &operatorspb.Request_Undrain{Undrain: &operatorspb.UndrainRequest{Node: machine}}})
+		_, err := s.requestAsOperator(s.down, &operatorspb.Request{What: &operatorspb.Request_Undrain{Undrain: &operatorspb.UndrainRequest{Node: machine}}})
 		return err
 	}
 	if err := undrain(); err != nil {
@@ -205,7 +205,7 @@
 }
 
 // stopLeader stops the leader's process, and returns which controllers are down.
-func (s *site) stopLeader() map[int]bool {
+func (s *testCluster) stopLeader() map[int]bool {
 	s.Helper()
 	leader, _ := s.nodes[0].leader()
 	down := map[int]bool{}
@@ -229,10 +229,10 @@
 }
 
 // checkExplain checks the explanations for a running job, an unknown job, an invalid id and a finished job.
-func (s *site) checkExplain() {
+func (s *testCluster) checkExplain() {
 	s.Helper()
 	explain := func(id string) (*operatorspb.ExplainResponse, error) {
-		out, err := s.operate(s.down, &operatorspb.Request{What: &operatorspb.Request_Explain{Explain: &operatorspb.ExplainRequest{Job: id}}})
+		out, err := s.requestAsOperator(s.down, &operatorspb.Request{What: &operatorspb.Request_Explain{Explain: &operatorspb.ExplainRequest{Job: id}}})
 		return out.GetExplain(), err
 	}
 	if out, err := explain("stays"); err != nil || out.Job.Placed != 3 || out.Reasons[0].Code != placement.CodeRunning {
@@ -250,7 +250,7 @@
 }
 
 // checkQueries checks the answers of the other queries, while only the replicas of one job run.
-func (s *site) checkQueries() {
+func (s *testCluster) checkQueries() {
 	s.Helper()
 	for _, c := range []struct {
 		name    string
@@ -275,7 +275,7 @@
 			return out.GetStatus().Complete && out.GetStatus().Jobs == 1
 		}},
 	} {
-		out, err := s.operate(s.down, c.request)
+		out, err := s.requestAsOperator(s.down, c.request)
 		if err != nil {
 			s.Errorf("%s: %v", c.name, err)
 			continue
@@ -298,7 +298,7 @@
 		{"ended", map[string]store.Item{}, codes.Aborted},
 		{"ended and drained again", map[string]store.Item{"ops/drain/zone/a": {Key: "ops/drain/zone/a", Revision: 8}}, codes.Aborted},
 	} {
-		term, _, _ := leading(t)
+		term, _, _ := newLeadingTerm(t)
 		got := codes.Code(99)
 		term.drains.records = c.records
 		term.drains.pending = []pendingDrain{{target: "zone/a", key: "ops/drain/zone/a", revision: 7, deadline: time.Now().Add(time.Minute),
--- a/internal/controller/record_write_test.go
+++ b/internal/controller/record_write_test.go
@@ -63,7 +63,7 @@
 		{"other error", put, store.TxnResult{}, errors.New("odd"), same, writeFailed, 0, 0, codes.Unknown, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			term, _, _ := leading(t)
+			term, _, _ := newLeadingTerm(t)
 			term.ctrl.store = &c.store
 			write := term.resolveWrite(c.write, c.result, c.err)
 			if write.outcome != c.outcome || write.record.Revision != c.revision || c.store.reads != c.reads {
--- a/internal/controller/recording_test.go
+++ b/internal/controller/recording_test.go
@@ -39,13 +39,13 @@
 	}
 }
 
-// follow records a site until check is called, which reads the recording and decides everything in it again. It
+// follow records a cluster until check is called, which reads the recording and decides everything in it again. It
 // returns once a leader's first block is written. written waits until everything that was decided before its call
 // is written.
 //
 // Guard: without these waits, on a busy machine, the jobs ran before the recorder had reached their leader, or within
 // the last second of that leader, whose block is lost with it. Then too few starts were compared.
-func (s *site) follow() (written, check func()) {
+func (s *testCluster) follow() (written, check func()) {
 	s.Helper()
 	dir := s.TempDir()
 	writer, err := record.OpenWriter(dir, 64<<10)
@@ -87,7 +87,7 @@
 
 // checkRecording decides everything in a recording again, and checks that it has the streams of at least two leaders and
 // at least 10 starts.
-func (s *site) checkRecording(dir string) {
+func (s *testCluster) checkRecording(dir string) {
 	s.Helper()
 	replayed := &replayedStream{TB: s.TB}
 	found, err := record.Read(dir, replayed.frame)
@@ -127,7 +127,7 @@
 
 // Checks that an exported state contains the settings in force, and that a state of another version is refused.
 func TestRecordingHoldsSettings(t *testing.T) {
-	term, _, _ := leading(t)
+	term, _, _ := newLeadingTerm(t)
 	state, err := term.scheduler.Export(0)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/controller/reload.go
+++ b/internal/controller/reload.go
@@ -34,8 +34,8 @@
 
 // settingsChecker is a peer connection over which a controller can be asked whether it could adopt settings.
 type settingsChecker interface {
-	// Check returns why the controller cannot adopt the settings in text; "" if it can.
-	Check(ctx context.Context, text string) (problem string, err error)
+	// CheckSettings returns why the controller cannot adopt the settings in text; "" if it can.
+	CheckSettings(ctx context.Context, text string) (problem string, err error)
 }
 
 // handleReload puts settings in force on all controllers or on none. It first asks all controllers whether they
@@ -181,7 +181,7 @@
 func (t *leaderTerm) checkOnPeer(checker settingsChecker, text string) string {
 	ctx, cancel := context.WithTimeout(t.ctx, settingsCheckTimeout)
 	defer cancel()
-	problem, err := checker.Check(ctx, text)
+	problem, err := checker.CheckSettings(ctx, text)
 	switch {
 	case status.Code(err) == codes.Unimplemented:
 		return "runs a version that knows no reload"
--- a/internal/controller/reload_test.go
+++ b/internal/controller/reload_test.go
@@ -28,7 +28,7 @@
 		}
 		return store.Item{Key: settingsKey, Value: v}
 	}
-	term, _, _ := leading(t)
+	term, _, _ := newLeadingTerm(t)
 	controller := term.ctrl
 	controller.term = term
 	file := controller.fileSettings.Fleet.Idle
@@ -83,8 +83,8 @@
 }
 
 func (c unansweredSettingsCase) run(t *testing.T) {
-	s := newSite(t)
-	s.ask("POST", "/api/jobs", job("first", "batch", 1)) // answered only if there is a leader
+	s := newTestCluster(t)
+	s.request("POST", "/api/jobs", job("first", "batch", 1)) // answered only if there is a leader
 	var matched atomic.Int32
 	s.state.Fates(func(keys []string) standin.Fate {
 		if slices.Contains(keys, settingsKey) && matched.Add(1) == 1 {
@@ -114,14 +114,14 @@
 	if number != 1 || idle != c.idle {
 		t.Errorf("settings %d are in force, idle %q", number, idle)
 	}
-	s.until("first", done)
+	s.waitForJob("first", done)
 }
 
 // idleSetting queries the settings in force, and returns their number and their idle time; last if they contain no idle
 // time.
-func (s *site) idleSetting(last string) (number uint64, idle string) {
+func (s *testCluster) idleSetting(last string) (number uint64, idle string) {
 	s.Helper()
-	out, err := s.operate(nil, &operatorspb.Request{What: &operatorspb.Request_Settings{Settings: &operatorspb.SettingsRequest{}}})
+	out, err := s.requestAsOperator(nil, &operatorspb.Request{What: &operatorspb.Request_Settings{Settings: &operatorspb.SettingsRequest{}}})
 	if err != nil {
 		s.Fatal(err)
 	}
@@ -136,7 +136,7 @@
 
 // operateOnce sends an operator's request to the leader. It retries only on Unavailable errors or while there is no
 // leader.
-func (s *site) operateOnce(r *operatorspb.Request) (*operatorspb.Reply, error) {
+func (s *testCluster) operateOnce(r *operatorspb.Request) (*operatorspb.Reply, error) {
 	for deadline := time.Now().Add(20 * time.Second); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
 		leader, _ := s.nodes[0].leader()
 		for i := range 3 {
--- a/internal/controller/scale_test.go
+++ b/internal/controller/scale_test.go
@@ -16,9 +16,9 @@
 	"github.com/marlwood/marlwood/internal/workers"
 )
 
-// FuzzReadReport checks that the heartbeat decoder, which was chosen for its speed, accepts the same input as
+// FuzzDecodeHeartbeat checks that the heartbeat decoder, which was chosen for its speed, accepts the same input as
 // the standard library's decoder, except invalid UTF-8, and decodes it to the same value.
-func FuzzReadReport(f *testing.F) {
+func FuzzDecodeHeartbeat(f *testing.F) {
 	for _, s := range []string{`{"berth":"m1","addr":"x:1","hull":"g","yard":"a","shift":1,"tally":2,"baton":7,"recallS":1.5,"loaners":true,"pieces":[{"piece":"j/1","try":2,"stage":"running"}]}`,
 		`{"BERTH":"\u00e9\n","shift":1e2}`, `{"pieces":null,"recallS":null}`, `{"pieces":[{"stored":false,"x":[{}]}]} `} {
 		f.Add([]byte(s))
@@ -49,7 +49,7 @@
 			}
 			body := `{"berth":"vm-000231","addr":"10.1.0.232:9000","hull":"big","yard":"a","loaners":true,"shift":1,"tally":%09d,"baton":7,"recallS":null,"pieces":[` +
 				strings.Join(pieces, ",") + `]}`
-			term, _, _ := leading(b)
+			term, _, _ := newLeadingTerm(b)
 			ctrl := term.ctrl
 			b.ReportAllocs()
 			seq := 0
--- a/internal/controller/scaling.go
+++ b/internal/controller/scaling.go
@@ -130,7 +130,7 @@
 // Guard: that time counts from when the owners are known, not from the start of the term. When it counted
 // from the start, the list was reconciled a moment too early, and the next list came seven seconds later.
 func (t *leaderTerm) allCouldReport(now time.Time) bool {
-	return now.Sub(t.assignedAt) > newLeaderUnheard(t.ctrl.cfg)+tick
+	return now.Sub(t.assignedAt) > firstHeartbeatTimeout(t.ctrl.cfg)+tick
 }
 
 // reconcileDeferredList reconciles a list once more that came before all machines could have sent a
--- a/internal/controller/scheduler_config.go
+++ b/internal/controller/scheduler_config.go
@@ -22,8 +22,8 @@
 	bytesPerClaimedMember = 24
 )
 
-// coreConfig returns the scheduler's configuration: the settings that its decisions depend on.
-func coreConfig(platform *settings.Platform, operator *settings.Operator) scheduler.Config {
+// schedulerConfig returns the scheduler's configuration: the settings that its decisions depend on.
+func schedulerConfig(platform *settings.Platform, operator *settings.Operator) scheduler.Config {
 	return scheduler.Config{
 		Placement: placementOptions(platform, operator),
 		Fleet: autoscaler.Options{
@@ -36,7 +36,7 @@
 		Teams:    platform.Teams,
 		Errors:   operator.Fleet.Errors,
 		Unheard:  2*platform.ReportEvery + 2*time.Second,
-		Greeted:  newLeaderUnheard(platform),
+		Greeted:  firstHeartbeatTimeout(platform),
 		Settings: scheduler.Settings{Platform: platform, Operator: operator},
 	}
 }
@@ -75,9 +75,10 @@
 	return platform.ValueBytes / bytesPerClaimedMember
 }
 
-// newLeaderUnheard returns how long it may take until the first heartbeat of an existing machine reaches a new leader:
-// the machine's worker sends a heartbeat within 5/4 of the usual interval, and may first try a controller that is lost.
-func newLeaderUnheard(platform *settings.Platform) time.Duration {
+// firstHeartbeatTimeout returns how long it may take until the first heartbeat of an existing machine reaches a new
+// leader: the machine's worker sends a heartbeat within 5/4 of the usual interval, and may first try a controller that
+// is lost.
+func firstHeartbeatTimeout(platform *settings.Platform) time.Duration {
 	return platform.ReportEvery*5/4 + time.Second
 }
 
--- a/internal/controller/settings_adoption.go
+++ b/internal/controller/settings_adoption.go
@@ -103,7 +103,7 @@
 	c.settings, c.adoption.number = next, record.Number
 	c.log.Info("settings adopted", "number", record.Number, "who", record.Who, "at", record.At, "reason", record.Reason)
 	if c.term != nil {
-		if err := c.term.scheduler.SetConfig(c.env.Now(), coreConfig(c.cfg, c.settings)); err != nil {
+		if err := c.term.scheduler.SetConfig(c.env.Now(), schedulerConfig(c.cfg, c.settings)); err != nil {
 			c.log.Error("failed to pass the adopted settings to the scheduler", "err", err)
 		}
 	}
--- a/internal/controller/sizes_test.go
+++ b/internal/controller/sizes_test.go
@@ -20,7 +20,7 @@
 // owner nor the leader keeps the sizes of jobs that have ended. Jobs start and end while the leader gets no
 // answer to one message in three with a new job, and to one in three after a job has ended.
 func TestSizesOfEndedJobsAreRemoved(t *testing.T) {
-	term, peer, _ := leading(t)
+	term, peer, _ := newLeadingTerm(t)
 	now := time.Now()
 	owner, most := map[string]bool{}, 0 // the jobs whose sizes the owner holds, as in workers.Registry
 	send := func(lost bool, orders ...*peerspb.Order) {
@@ -70,7 +70,7 @@
 	if p.lost {
 		return nil, errors.New("lost")
 	}
-	return says("first", r.Token, 1000), nil
+	return roundResponse("first", r.Token, 1000), nil
 }
 func (lossyPeer) Close() error { return nil }
 
@@ -86,7 +86,7 @@
 		{"unanswered", []bool{true, false, false}, []int{1, 1, 0}},
 		{"unanswered twice", []bool{true, true, false, false}, []int{1, 1, 1, 0}},
 	} {
-		term, peer, _ := leading(t)
+		term, peer, _ := newLeadingTerm(t)
 		now := time.Now()
 		term.ctrl.elector.KeyRead(now, now, true, leadership.LeaderRecord{Member: "n0", Boot: term.ctrl.bootID, Attempt: 1}, 7)
 		term.ctrl.publishLease()
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -117,13 +117,13 @@
 	return l.client.Round(ctx, request)
 }
 
-// Pass passes an operator's request on and waits for the reply as long as ctx says.
-func (l *Link) Pass(ctx context.Context, request *operatorspb.Request) (*operatorspb.Reply, error) {
+// Forward passes an operator's request on and waits for the reply as long as ctx says.
+func (l *Link) Forward(ctx context.Context, request *operatorspb.Request) (*operatorspb.Reply, error) {
 	return operatorspb.NewRelayClient(l.conn).Pass(ctx, request)
 }
 
-// Check asks whether the peer could adopt settings; the problem is empty if it could.
-func (l *Link) Check(ctx context.Context, text string) (problem string, err error) {
+// CheckSettings asks whether the peer could adopt settings; the problem is empty if it could.
+func (l *Link) CheckSettings(ctx context.Context, text string) (problem string, err error) {
 	reply, err := operatorspb.NewRelayClient(l.conn).Check(ctx, &operatorspb.CompareRequest{Text: text})
 	return reply.GetProblem(), err
 }
