--- a/internal/controller/accounts.go
+++ b/internal/controller/accounts.go
@@ -91,9 +91,9 @@
 	}
 }
 
-// withdrawUsage removes the teams' usage from the metrics when this controller holds no leader lease: another
+// clearUsageMetrics removes the teams' usage from the metrics when this controller holds no leader lease: another
 // controller may lead then, and its figures are newer.
-func (t *leaderTerm) withdrawUsage(now time.Time) {
+func (t *leaderTerm) clearUsageMetrics(now time.Time) {
 	if t.ctrl.metrics != nil && !t.ctrl.elector.HoldsLease(now) {
 		t.ctrl.metrics.Usage(nil)
 	}
@@ -112,7 +112,7 @@
 
 // readAccounts reads the stored accounts, to which the usage of this term is added. It runs outside the loop.
 func (t *leaderTerm) readAccounts() {
-	items, revision, err := t.ctrl.store.List(t.ctx, accounting.Prefix)
+	items, revision, err := t.ctrl.store.List(t.ctx, accounting.KeyPrefix)
 	var watermark store.Item
 	if err == nil {
 		if watermark, err = t.ctrl.store.Get(t.ctx, accounting.WatermarkKey); errors.Is(err, store.ErrNotFound) {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -150,7 +150,7 @@
 		Lease:             c.cfg.Lease,
 		Margin:            time.Second / 2,
 		CancelGrace:       c.cfg.CancelWait - c.cfg.Lease - c.timing.Margin,
-		MaxCalls:          sockets.Divide(c.cfg.MaxConns, c.fileSettings.Service.UserConnsShare).Direct / 2,
+		MaxCalls:          sockets.Divide(c.cfg.MaxConns, c.fileSettings.Service.UserConnsShare).DirectCalls / 2,
 	}
 }
 
@@ -228,7 +228,7 @@
 // HandleRound handles a leader's message, on the loop, and passes the response to reply. The response is nil
 // until this process has read the leader key.
 func (c *Controller) HandleRound(now time.Time, request *peerspb.RoundRequest, reply func(*peerspb.RoundResponse)) {
-	if c.elector.MinToken() == 0 { // see workers.Registry.NoneBelow
+	if c.elector.MinToken() == 0 { // see workers.Registry.RejectTokensBelow
 		reply(nil)
 		return
 	}
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -46,7 +46,7 @@
 func decodeHeartbeat(body []byte) (*model.Heartbeat, error) {
 	// Guard: the decoder does not check the encoding of strings, and a string that is not UTF-8 cannot be
 	// sent to the leader. One such heartbeat would block all of an owner's responses to the leader
-	// (FuzzReadReport).
+	// (FuzzDecodeHeartbeat).
 	if !utf8.Valid(body) {
 		return nil, errors.New("not a report: not UTF-8")
 	}
@@ -106,12 +106,12 @@
 	if pending.result.NotifyLeader && c.term != nil {
 		c.term.startRoundSoon()
 	}
-	if !pending.result.Pending {
+	if !pending.result.AwaitsLeader {
 		pending.reply(pending.result)
 		return
 	}
 	pending.deadline = pending.arrivedAt.Add(c.settings.Placement.ReportWait)
-	if pending.result.Unacknowledged {
+	if pending.result.AwaitsAcknowledgement {
 		pending.deadline = pending.arrivedAt.Add(max(c.settings.Placement.ReportWait, acknowledgementWait))
 	}
 	if now.Before(pending.deadline) {
--- a/internal/controller/job_watch.go
+++ b/internal/controller/job_watch.go
@@ -54,15 +54,15 @@
 // observeJobs records that the term knows the state of all jobs as of sentAt, when the request that
 // returned it was sent.
 func (t *leaderTerm) observeJobs(sentAt time.Time) {
-	t.ctrl.elector.ObserveJobs(sentAt)
+	t.ctrl.elector.ObserveJobsView(sentAt)
 	t.ctrl.publishLease()
 }
 
 // resyncJobs replaces the scheduler's jobs by a full list after changes were missed.
 func (t *leaderTerm) resyncJobs(jobs []store.Item) {
 	t.scheduler.ReplaceJobs(t.ctrl.env.Now(), jobs)
-	t.partRevisions.retain(t.isOpen)
-	t.nextCheck = time.Time{}
+	t.shardRevisions.retain(t.isOpen)
+	t.nextDependencyCheck = time.Time{}
 	t.startRoundSoon()
 }
 
@@ -77,10 +77,10 @@
 			t.ctrl.log.Debug("job record deleted", "job", job)
 			t.noteCancelled(job)
 		}
-		delete(t.partRevisions, job)
+		delete(t.shardRevisions, job)
 	}
 	t.scheduler.ApplyJobChanges(t.ctrl.env.Now(), events)
-	t.nextCheck = time.Time{}
+	t.nextDependencyCheck = time.Time{}
 	t.startRoundSoon()
 }
 
--- a/internal/controller/standstill_test.go
+++ b/internal/controller/standstill_test.go
@@ -43,7 +43,7 @@
 	defer cancel()
 	ctrl.ctx = ctx
 	term := &leaderTerm{ctrl: ctrl, ctx: ctx, end: cancel, token: 7}
-	renewLease := func(sentAt time.Time) { // acts as if a poll of the leader key sent at sentAt had shown this process as leader
+	renewLease := func(sentAt time.Time) { // simulates a poll of the leader key at sentAt that shows our key
 		ctrl.elector = leadership.New(leadership.Options{Member: "n0", Boot: ctrl.bootID, PollInterval: time.Second, LeaseTTL: 5 * time.Second, ValidFor: ctrl.timing.LeaderLease})
 		ctrl.elector.KeyRead(sentAt, sentAt, true, leadership.LeaderRecord{Member: "n0", Boot: ctrl.bootID, Attempt: 1}, 7)
 		ctrl.publishLease()
@@ -62,13 +62,13 @@
 		}},
 	} {
 		renewLease(time.Now())
-		call.Until = time.Now().Add(time.Second)
+		call.Deadline = time.Now().Add(time.Second)
 		sent.Store(0)
 		if c.do(); sent.Load() != 1 {
 			t.Errorf("%s: %d requests sent with a valid leader lease", c.name, sent.Load())
 		}
 		renewLease(time.Now().Add(-ctrl.timing.LeaderLease))
-		call.Until = time.Now().Add(-time.Millisecond)
+		call.Deadline = time.Now().Add(-time.Millisecond)
 		sent.Store(0)
 		if done := c.do(); sent.Load() != 0 || (done && (c.name == "store write" || c.name == "direct call")) {
 			t.Errorf("%s: sent after the leader lease expired", c.name)
