--- a/internal/controller/reload.go
+++ b/internal/controller/reload.go
@@ -65,7 +65,7 @@
 // reloadPastSettings reads the earlier record that a reload names by its number, and continues the reload with its text.
 func (t *leaderTerm) reloadPastSettings(caller *operatorspb.Caller, request *operatorspb.ReloadRequest) {
 	t.ctrl.env.Go(func() {
-		item, err := t.ctrl.store.Get(t.ctx, pastSettingsPrefix+pastSettingsName(request.Number))
+		item, err := t.ctrl.store.Get(t.ctx, pastSettingsKeys+pastSettingsName(request.Number))
 		var record settingsRecord
 		if err == nil {
 			err = json.Unmarshal(item.Value, &record)
@@ -243,9 +243,9 @@
 	if inForce.Number >= record.Number { // an earlier change was executed late
 		return store.TxnResult{Failed: []string{settingsKey}}, nil
 	}
-	txn := t.newTxn(store.Put(settingsKey, record), store.Put(pastSettingsPrefix+pastSettingsName(record.Number), record))
+	txn := t.newTxn(store.Put(settingsKey, record), store.Put(pastSettingsKeys+pastSettingsName(record.Number), record))
 	if record.Number > maxPastSettings {
-		txn.Writes = append(txn.Writes, store.Delete(pastSettingsPrefix+pastSettingsName(record.Number-maxPastSettings)))
+		txn.Writes = append(txn.Writes, store.Delete(pastSettingsKeys+pastSettingsName(record.Number-maxPastSettings)))
 	}
 	txn.Preconditions = append(txn.Preconditions, store.Precondition{Key: settingsKey, Revision: stored.Revision})
 	return t.commit(txn)
--- a/internal/controller/settings_adoption.go
+++ b/internal/controller/settings_adoption.go
@@ -13,10 +13,10 @@
 // settings by number.
 const (
 	settingsKey        = placement.OpsPrefix + "settings"
-	pastSettingsPrefix = "past-settings/"
+	pastSettingsKeys = "past-settings/"
 )
 
-// maxPastSettings is how many records are kept under pastSettingsPrefix, the one in force included.
+// maxPastSettings is how many records are kept under pastSettingsKeys, the one in force included.
 const maxPastSettings = 20
 
 // settingsReadRetryWait is how long a controller that failed to read the record waits before it may read again.
--- a/internal/controller/settings_queries.go
+++ b/internal/controller/settings_queries.go
@@ -41,7 +41,7 @@
 
 // pastSettings reads the kept records of settings, and returns them with the latest first. It runs outside the loop.
 func (t *leaderTerm) pastSettings() ([]*operatorspb.SettingsRecord, error) {
-	items, _, err := t.ctrl.store.List(t.ctx, pastSettingsPrefix)
+	items, _, err := t.ctrl.store.List(t.ctx, pastSettingsKeys)
 	var past []*operatorspb.SettingsRecord
 	for _, item := range items {
 		var record settingsRecord
