--- a/internal/controller/settings_adoption.go
+++ b/internal/controller/settings_adoption.go
@@ -12,7 +12,7 @@
 // Keys of the settings that operators put in force: of the record in force, and the prefix of the keys of all recorded
 // settings by number.
 const (
-	settingsKey        = placement.OpsPrefix + "settings"
+	settingsKey      = placement.OpsPrefix + "settings"
 	pastSettingsKeys = "past-settings/"
 )
 
