--- a/internal/httpwire/client.go
+++ b/internal/httpwire/client.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	defaultTimeout = time.Minute // of a request whose context has no deadline
-	maxKeptBuffer  = 64 << 10    // bytes of a buffer that an idle connection keeps
+	defaultTimeout = time.Minute // for a request whose context has no deadline
+	maxKeptBuffer  = 64 << 10    // bytes; a larger response buffer is released after the response
 	readSize       = 4096
 )
 
@@ -32,13 +32,14 @@
 	buffer []byte
 }
 
-// NewClient makes a client with at most conns concurrent requests.
+// NewClient returns a client with at most conns concurrent requests.
 func NewClient(addr string, conns int, limits Limits) *Client {
 	return &Client{addr: addr, limits: limits, slots: make(chan struct{}, conns)}
 }
 
-// Do sends one request and waits for its response until ctx ends. An error
-// means that the outcome is unknown, unless it is ErrNotSent.
+// Do sends one request and waits for its response until the deadline of ctx, or for
+// defaultTimeout if it has none. Cancellation of ctx is only observed while Do waits for a
+// connection. An error means that the outcome is unknown, unless it is ErrNotSent.
 func (c *Client) Do(ctx context.Context, method, target string, body []byte) (*Response, error) {
 	select {
 	case c.slots <- struct{}{}:
@@ -67,11 +68,11 @@
 	return response, nil
 }
 
-// Close closes the connections that no request uses, and each of the others when its
-// request has been answered. Requests may still be made; their connections are not kept.
+// Close closes the idle connections, and each connection in use once its response has
+// arrived. Requests may still be sent; their connections are not kept.
 //
-// Guard: only idle connections used to be closed. Those in use came back to a client that
-// was no longer referenced, and their sockets stayed open.
+// Guard: Close used to close only idle connections. A connection in use was later returned to
+// the pool of a client that was no longer referenced, and its socket stayed open.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -82,7 +83,7 @@
 	c.idle = nil
 }
 
-// ErrNotSent tells that a request never left this process.
+// ErrNotSent is the error of a request that never left this process.
 var ErrNotSent = errors.New("httpwire: request not sent")
 
 // takeConn returns an idle connection, or opens one.
--- a/internal/httpwire/message.go
+++ b/internal/httpwire/message.go
@@ -12,14 +12,14 @@
 	"strings"
 )
 
-// Limits bounds what a peer may make the parser hold.
+// Limits bounds the size of the messages that the parser accepts.
 type Limits struct {
 	Head int // bytes of start line and headers
 	Body int // bytes of body
 }
 
-// Parsing errors. ErrIncomplete asks for more bytes; the others end the
-// connection.
+// Parsing errors. After ErrIncomplete the caller parses again when more bytes have arrived;
+// after any other error it closes the connection.
 var (
 	ErrIncomplete = errors.New("httpwire: message incomplete")
 	ErrMalformed  = errors.New("httpwire: malformed message")
@@ -47,7 +47,7 @@
 // headEnd separates the head of a message from its body.
 const headEnd = "\r\n\r\n"
 
-// head is the start line of a message and what its headers say of its framing.
+// head holds the start line of a message and the values of the headers that the package uses.
 type head struct {
 	start       string
 	length      int // -1: not given
@@ -59,7 +59,7 @@
 	lengthGiven bool
 }
 
-// parseHead reads the start line and the headers at the front of b.
+// parseHead parses the start line and the headers at the front of buffered.
 func parseHead(buffered []byte, limits Limits) (head, error) {
 	parsed := head{length: -1}
 	end := bytes.Index(buffered, []byte(headEnd))
@@ -78,7 +78,7 @@
 		}
 	}
 	if parsed.chunked && parsed.lengthGiven {
-		return parsed, ErrMalformed // two framings: request smuggling
+		return parsed, ErrMalformed // conflicting framings allow request smuggling
 	}
 	if parsed.length > limits.Body {
 		return parsed, ErrBodySize
@@ -86,20 +86,21 @@
 	return parsed, nil
 }
 
-// incompleteHead decides whether a head whose end hasn't arrived can still be valid.
+// incompleteHead returns ErrIncomplete if a head whose end has not arrived can still be valid,
+// and the parsing error otherwise.
 func incompleteHead(buffered []byte, limits Limits) error {
 	if len(buffered) > limits.Head {
 		return ErrHeadSize
 	}
-	// A bare line feed never ends a line here, so a first line that
-	// holds one is rejected before the rest arrives.
+	// The parser doesn't accept a bare line feed as a line end, so a head whose first
+	// line feed is bare is rejected before the rest arrives.
 	if i := bytes.IndexByte(buffered, '\n'); i >= 0 && (i == 0 || buffered[i-1] != '\r') {
 		return ErrMalformed
 	}
 	return ErrIncomplete
 }
 
-// addHeader reads one header line. Headers that it doesn't know are ignored.
+// addHeader parses one header line. Unknown headers are ignored.
 func (h *head) addHeader(line string) error {
 	name, value, ok := strings.Cut(line, ":")
 	if !ok || name == "" || strings.ContainsAny(name, " \t\n\r") || strings.ContainsAny(value, "\n\r\x00") {
@@ -126,7 +127,7 @@
 	return nil
 }
 
-// addConnectionOptions reads the value of a Connection header.
+// addConnectionOptions parses the value of a Connection header.
 func (h *head) addConnectionOptions(value string) {
 	for _, option := range strings.Split(value, ",") {
 		switch strings.ToLower(strings.TrimSpace(option)) {
@@ -138,11 +139,11 @@
 	}
 }
 
-// closes tells whether the connection ends after the message.
+// closes reports whether the connection is closed after the message.
 func (h *head) closes(http10 bool) bool { return h.close || (http10 && !h.keepAlive) }
 
-// untilEnd tells whether the body of a response lasts until the connection ends.
-func (h *head) untilEnd(status int) bool {
+// endsWithConnection reports whether the body of a response ends when the connection is closed.
+func (h *head) endsWithConnection(status int) bool {
 	return !h.chunked && !h.lengthGiven && status != http.StatusNoContent && status != http.StatusNotModified
 }
 
@@ -195,7 +196,7 @@
 		}
 		offset += 2
 	}
-	for { // trailers are read over
+	for { // skip the trailers
 		i := bytes.Index(buffered[offset:], []byte("\r\n"))
 		if i < 0 {
 			if len(buffered)-offset > limits.Head {
@@ -210,7 +211,7 @@
 	}
 }
 
-// version tells HTTP/1.0 from HTTP/1.1; ok is false for other versions.
+// version reports whether s is HTTP/1.0 rather than HTTP/1.1; ok is false for other versions.
 func version(s string) (http10, ok bool) {
 	switch s {
 	case "HTTP/1.1":
@@ -221,8 +222,8 @@
 	return false, false
 }
 
-// ParseRequest reads one request at the front of b and returns it with the
-// number of bytes that it took.
+// ParseRequest parses one request at the front of buffered and returns it with its
+// length in bytes.
 func ParseRequest(buffered []byte, limits Limits) (*Request, int, error) {
 	head, err := parseHead(buffered, limits)
 	if err != nil {
@@ -255,7 +256,7 @@
 	return request, size, nil
 }
 
-// parseStatusLine reads the start line of a response.
+// parseStatusLine parses the start line of a response.
 func parseStatusLine(line string) (status int, isHTTP10 bool, err error) {
 	proto, rest, ok := strings.Cut(line, " ")
 	if !ok {
@@ -270,8 +271,9 @@
 	return status, isHTTP10, nil
 }
 
-// ParseResponse reads one response at the front of b. A response without any
-// framing lasts until the connection ends; ended tells that it has.
+// ParseResponse parses one response at the front of buffered and returns it with its
+// length in bytes. A response without any framing ends when the connection is closed;
+// ended reports that the peer has closed it.
 func ParseResponse(buffered []byte, ended bool, limits Limits) (*Response, int, error) {
 	head, err := parseHead(buffered, limits)
 	if err != nil {
@@ -286,7 +288,7 @@
 		return response, size + head.bodyStarts, err
 	}
 	response := &Response{Status: status, Close: head.closes(isHTTP10), RetryAfter: head.retryAfter}
-	if head.untilEnd(status) {
+	if head.endsWithConnection(status) {
 		if len(buffered)-head.bodyStarts > limits.Body {
 			return nil, 0, ErrBodySize
 		}
@@ -304,7 +306,7 @@
 	return response, size, nil
 }
 
-// reasonPhrases are those of RFC 9110, which differ from net/http's in two places.
+// reasonPhrases are the reason phrases of RFC 9110; two of them differ from those of net/http.
 var reasonPhrases = map[int]string{
 	http.StatusOK:                          "OK",
 	http.StatusCreated:                     "Created",
@@ -322,26 +324,26 @@
 	http.StatusGatewayTimeout:              "Gateway Timeout",
 }
 
-// Answer is the response that a handler gives to a request.
+// Answer is a handler's response to a request.
 type Answer struct {
 	Status     int
 	Body       []byte
 	Close      bool
 	RetryAfter int    // seconds; 0: none
-	Type       string // of the body; "": JSON
+	Type       string // Content-Type of the body; "": JSON
 }
 
-// Append writes the answer in wire form.
+// Append appends the answer to b in wire format.
 func (a Answer) Append(b []byte) []byte {
 	reason := reasonPhrases[a.Status]
 	if reason == "" {
 		reason = "Status"
 	}
-	kind := a.Type
-	if kind == "" {
-		kind = "application/json"
+	contentType := a.Type
+	if contentType == "" {
+		contentType = "application/json"
 	}
-	b = fmt.Appendf(b, "HTTP/1.1 %d %s\r\nContent-Type: %s\r\nContent-Length: %d\r\n", a.Status, reason, kind, len(a.Body))
+	b = fmt.Appendf(b, "HTTP/1.1 %d %s\r\nContent-Type: %s\r\nContent-Length: %d\r\n", a.Status, reason, contentType, len(a.Body))
 	if a.RetryAfter > 0 {
 		b = fmt.Appendf(b, "Retry-After: %d\r\n", a.RetryAfter)
 	}
@@ -352,7 +354,7 @@
 	return append(b, a.Body...)
 }
 
-// appendRequest writes a request in wire form.
+// appendRequest appends a request to b in wire format.
 func appendRequest(b []byte, method, target, host string, body []byte) []byte {
 	b = fmt.Appendf(b, "%s %s HTTP/1.1\r\nHost: %s\r\n", method, target, host)
 	if body != nil {
--- a/internal/httpwire/server.go
+++ b/internal/httpwire/server.go
@@ -13,38 +13,39 @@
 	"github.com/panjf2000/gnet/v2"
 )
 
-// Reply sends the answer to one request; it may be called from any goroutine,
-// once.
+// Reply sends the answer to one request. It must be called once and may be called from
+// any goroutine.
 type Reply func(Answer)
 
-// Handler serves requests. It runs on the listener's loop and must not block.
+// Handler serves requests. It runs on the listener's event loop and must not block.
 type Handler func(req *Request, reply Reply)
 
-// Duty is the class of a connection's client, such as users or workers.
+// Duty is the class of client that uses a connection, such as users or workers.
 type Duty uint8
 
-// Admission decides which connections stay open. It is notified of each one: accepted with
-// duty 0, whenever a request shows another duty, and when it is closed. It may be called
-// from any goroutine.
+// Admission decides which connections stay open. It is notified when a connection is accepted,
+// with duty 0, when a request changes the connection's duty, and when the connection is closed.
+// It may be called from any goroutine.
 type Admission interface {
-	// DutyOf tells what a request's connection is for.
+	// DutyOf returns the duty of the connection that sent the request.
 	DutyOf(req *Request) Duty
-	// Accepted counts a connection; full tells that an idle one must be closed for it.
+	// Accepted counts a new connection; full reports that an idle one must be closed for it.
 	Accepted() (full bool)
-	// ChangeDuty and Closed count a connection whose duty changes, and one that is closed.
+	// ChangeDuty counts a connection under its new duty, and Closed removes a closed connection
+	// from the count.
 	ChangeDuty(from, to Duty)
 	Closed(d Duty)
-	// Keep tells whether a connection may stay open after its answer.
+	// Keep reports whether a connection may stay open after an answer.
 	Keep(d Duty) bool
-	// Evicted counts an idle connection that was closed for a new one, Refused a new one
-	// that was closed because none was idle.
+	// Evicted counts an idle connection that was closed for a new one. Refused counts a new
+	// connection that was closed because no other could be closed for it.
 	Evicted()
 	Refused()
-	// CloseOrder lists the duties whose idle connections are closed for new ones, in order.
+	// CloseOrder returns the duties whose idle connections are closed for new ones, in order.
 	CloseOrder() []Duty
 }
 
-// ServerOptions are the listener's bounds.
+// ServerOptions configures a Server.
 type ServerOptions struct {
 	Limits      Limits
 	Admission   Admission
@@ -53,7 +54,7 @@
 	Log         *slog.Logger
 }
 
-// Server is the HTTP listener, one gnet event loop.
+// Server is an HTTP listener that runs on one gnet event loop.
 type Server struct {
 	gnet.BuiltinEventEngine
 	options ServerOptions
@@ -61,56 +62,56 @@
 	engine  gnet.Engine
 	booted  chan struct{}
 
-	mu      sync.Mutex
-	conns   map[gnet.Conn]*connState
-	resting map[Duty]*list.List // idle connections, the longest idle first
+	mu        sync.Mutex
+	conns     map[gnet.Conn]*connState
+	idleConns map[Duty]*list.List // idle connections by duty, the longest idle first
 }
 
-// connPhase is where a connection stands between requests.
+// connPhase is the state of a connection with respect to its current request.
 type connPhase int
 
 const (
-	connIdle      connPhase = iota // nothing received since the last answer
-	connReceiving                  // part of a request is here
-	connServing                    // a handler has the request
-	connClosing                    // the last answer is on its way
+	connIdle      connPhase = iota // nothing has been received since the last answer
+	connReceiving                  // part of a request has been received
+	connServing                    // the handler is processing a request
+	connClosing                    // the last answer was sent or the connection is being closed
 )
 
-// connState is what the server knows of a connection.
+// connState is the server's state of one connection.
 type connState struct {
-	phase          connPhase
-	phaseSince     time.Time
-	duty           Duty
-	restingElement *list.Element // in the list of idle connections; nil: it is not idle
+	phase       connPhase
+	phaseSince  time.Time
+	duty        Duty
+	idleElement *list.Element // element in the list of idle connections; nil if it is not idle
 }
 
-// NewServer makes a listener that passes requests to handler.
+// NewServer returns a listener that passes requests to handler.
 func NewServer(options ServerOptions, handler Handler) *Server {
 	return &Server{
-		options: options,
-		handler: handler,
-		booted:  make(chan struct{}),
-		conns:   map[gnet.Conn]*connState{},
-		resting: map[Duty]*list.List{},
+		options:   options,
+		handler:   handler,
+		booted:    make(chan struct{}),
+		conns:     map[gnet.Conn]*connState{},
+		idleConns: map[Duty]*list.List{},
 	}
 }
 
-// Run listens until Stop is called.
+// Run listens on addr until Stop is called.
 func (s *Server) Run(addr string) error {
 	return gnet.Run(s, "tcp://"+addr, gnet.WithMulticore(false), gnet.WithNumEventLoop(1),
 		gnet.WithReuseAddr(true), gnet.WithTicker(true), gnet.WithTCPNoDelay(gnet.TCPNoDelay),
 		gnet.WithReadBufferCap(16<<10), gnet.WithWriteBufferCap(16<<10), gnet.WithLogger(gnetLog{s.options.Log}))
 }
 
-// OnBoot keeps the engine so that it can be stopped.
+// OnBoot stores the engine so that Stop can stop it.
 func (s *Server) OnBoot(eng gnet.Engine) gnet.Action {
 	s.engine = eng
 	close(s.booted)
 	return gnet.None
 }
 
-// OnOpen admits a connection. If the limit is reached, one that is idle between requests is
-// closed for it: no client waits for an answer on that one.
+// OnOpen admits a new connection. If the limit is reached, an idle connection is closed for it,
+// because no client waits for an answer there; if there is none, the new connection is refused.
 func (s *Server) OnOpen(conn gnet.Conn) ([]byte, gnet.Action) {
 	full := s.options.Admission.Accepted()
 	s.mu.Lock()
@@ -136,11 +137,11 @@
 	return Answer{Status: http.StatusServiceUnavailable, Close: true, RetryAfter: 1, Body: []byte(`{"error":"too many connections"}`)}.Append(nil), gnet.Close
 }
 
-// longestIdle picks the connection to close that has been idle longest, of the first duty
-// that has one.
+// longestIdle returns the connection to close for a new one and marks it as closing: the one
+// that has been idle longest, of the first duty in the close order that has an idle connection.
 func (s *Server) longestIdle() gnet.Conn {
 	for _, duty := range s.options.Admission.CloseOrder() {
-		if conns := s.resting[duty]; conns != nil && conns.Len() > 0 {
+		if conns := s.idleConns[duty]; conns != nil && conns.Len() > 0 {
 			conn, _ := conns.Front().Value.(gnet.Conn)
 			s.enterPhase(conn, s.conns[conn], connClosing, time.Now())
 			return conn
@@ -161,32 +162,32 @@
 	return gnet.None
 }
 
-// enterPhase is the one place where a connection's phase changes; the caller holds the lock.
+// enterPhase changes the phase of a connection; no other function does. The caller holds s.mu.
 //
-// Guard: a connection that is being closed is no longer counted. Counted until it was gone, it
-// had others closed or rejected for nothing.
+// Guard: a connection is no longer counted once its closing begins. When it was counted until it
+// was gone, other connections were closed or rejected needlessly.
 func (s *Server) enterPhase(conn gnet.Conn, state *connState, phase connPhase, now time.Time) {
 	if state.phase == phase {
 		return
 	}
 	state.phase, state.phaseSince = phase, now
-	if state.restingElement != nil {
-		s.resting[state.duty].Remove(state.restingElement)
-		state.restingElement = nil
+	if state.idleElement != nil {
+		s.idleConns[state.duty].Remove(state.idleElement)
+		state.idleElement = nil
 	}
 	switch phase {
 	case connClosing:
 		s.options.Admission.Closed(state.duty)
 	case connIdle:
-		if s.resting[state.duty] == nil {
-			s.resting[state.duty] = list.New()
+		if s.idleConns[state.duty] == nil {
+			s.idleConns[state.duty] = list.New()
 		}
-		state.restingElement = s.resting[state.duty].PushBack(conn)
+		state.idleElement = s.idleConns[state.duty].PushBack(conn)
 	}
 }
 
-// OnTraffic parses what has arrived. One request is served at a time on a
-// connection; the rest waits in its buffer.
+// OnTraffic parses the received bytes. A connection serves one request at a time; further
+// requests wait in its buffer.
 func (s *Server) OnTraffic(conn gnet.Conn) gnet.Action {
 	state, _ := conn.Context().(*connState)
 	if state == nil {
@@ -225,11 +226,11 @@
 	return gnet.None
 }
 
-// rejection is the answer to a request that can't be parsed.
+// rejection returns the answer to a request that can't be parsed.
 func (s *Server) rejection(err error) Answer {
 	answer := Answer{Status: http.StatusBadRequest, Close: true, Body: []byte(`{"error":"malformed request"}`)}
 	if errors.Is(err, ErrBodySize) {
-		// Guard: users retry for a minute what gets another status than 400 (protocol, POST /api/jobs).
+		// Guard: users retry a submission for a minute if the status is not 400 (protocol, POST /api/jobs).
 		answer.Body = fmt.Appendf(nil, `{"error":"body: too large; send at most %d bytes"}`, s.options.Limits.Body)
 	} else if errors.Is(err, ErrHeadSize) {
 		answer.Status, answer.Body = http.StatusRequestHeaderFieldsTooLarge, []byte(`{"error":"request head too large"}`)
@@ -237,18 +238,18 @@
 	return answer
 }
 
-// setDuty records what a connection that serves a request is for.
+// setDuty sets the duty of a connection that is serving a request.
 func (s *Server) setDuty(state *connState, duty Duty) {
 	if duty == state.duty {
 		return
 	}
 	s.options.Admission.ChangeDuty(state.duty, duty)
 	s.mu.Lock()
-	state.duty = duty // it serves a request, so it is in no list of idle connections
+	state.duty = duty // the connection is serving a request, so it is in no list of idle connections
 	s.mu.Unlock()
 }
 
-// reply sends the answer to a request; after it the connection is idle or closed.
+// reply sends the answer to a request; afterwards the connection is idle or closed.
 func (s *Server) reply(conn gnet.Conn, state *connState, request *Request, answer Answer) {
 	answer.Close = answer.Close || request.Close || !s.options.Admission.Keep(state.duty)
 	next := connIdle
@@ -267,7 +268,7 @@
 	})
 }
 
-// setPhase changes the phase of a connection unless it is closed already.
+// setPhase changes the phase of a connection unless it has been closed already.
 func (s *Server) setPhase(conn gnet.Conn, state *connState, phase connPhase, now time.Time) {
 	s.mu.Lock()
 	if s.conns[conn] == state {
@@ -276,21 +277,21 @@
 	s.mu.Unlock()
 }
 
-// OnTick closes connections that send a request too slowly or are idle too long,
-// so that idle clients can't hold every socket.
+// OnTick closes connections that send a request too slowly or are idle for too long, so that
+// such clients can't occupy every socket.
 func (s *Server) OnTick() (time.Duration, gnet.Action) {
 	now := time.Now()
-	var late []gnet.Conn
+	var expired []gnet.Conn
 	s.mu.Lock()
 	for conn, state := range s.conns {
 		switch age := now.Sub(state.phaseSince); {
 		case state.phase == connReceiving && age > s.options.PartialWait,
 			state.phase == connIdle && age > s.options.IdleWait:
-			late = append(late, conn)
+			expired = append(expired, conn)
 		}
 	}
 	s.mu.Unlock()
-	for _, conn := range late {
+	for _, conn := range expired {
 		_ = conn.Close()
 	}
 	return time.Second, gnet.None
@@ -302,7 +303,7 @@
 	return s.engine.Stop(ctx)
 }
 
-// gnetLog forwards the library's own messages at the levels used here.
+// gnetLog forwards gnet's log messages to a slog.Logger.
 type gnetLog struct{ log *slog.Logger }
 
 // Debugf logs at debug level.
@@ -310,7 +311,7 @@
 	l.log.Debug("gnet: " + fmt.Sprintf(format, args...))
 }
 
-// Infof logs at debug level: the library is verbose.
+// Infof logs at debug level because gnet is verbose.
 func (l gnetLog) Infof(format string, args ...any) {
 	l.log.Debug("gnet: " + fmt.Sprintf(format, args...))
 }
@@ -325,7 +326,7 @@
 	l.log.Error("gnet: " + fmt.Sprintf(format, args...))
 }
 
-// Fatalf must not end the process: Run returns the error to its caller.
+// Fatalf logs an error and must not end the process: Run returns the error to its caller.
 func (l gnetLog) Fatalf(format string, args ...any) {
 	l.log.Error("gnet: " + fmt.Sprintf(format, args...))
 }
--- a/internal/httpwire/server_test.go
+++ b/internal/httpwire/server_test.go
@@ -14,7 +14,7 @@
 	"github.com/marlwood/marlwood/internal/sockets"
 )
 
-// byPath admits by a budget; requests for /work are workers'.
+// byPath is an Admission with a socket budget; requests for /work come from workers, all others from users.
 type byPath struct{ *sockets.Budget }
 
 func (byPath) DutyOf(r *httpwire.Request) sockets.Duty {
@@ -26,7 +26,7 @@
 
 func (byPath) CloseOrder() []sockets.Duty { return []sockets.Duty{sockets.Workers} }
 
-// startServer serves every request with 200 and returns the address.
+// startServer starts a server that answers every request with 200, and returns its address.
 func startServer(t *testing.T, budget *sockets.Budget) string {
 	t.Helper()
 	probe, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -65,7 +65,7 @@
 	return http.ReadResponse(bufio.NewReader(c), nil)
 }
 
-// dial connects as soon as the server listens; the connection stays open until the test ends.
+// dial retries until the server listens; the connection stays open until the test ends.
 func dial(t *testing.T, addr string) net.Conn {
 	t.Helper()
 	for range 100 {
@@ -79,33 +79,34 @@
 	return nil
 }
 
-// Workers that keep their connections never lock users out: beyond their limit they are
-// told to close, and an idle one is closed for a new connection.
-func TestWorkersLeaveRoom(t *testing.T) {
+// Workers that keep their connections open could occupy every socket and lock users out. Beyond
+// the workers' limit the server closes a connection after its answer, and when the listener is
+// full it closes an idle worker connection for a new one.
+func TestWorkerConnectionsDoNotBlockUsers(t *testing.T) {
 	budget := sockets.New(sockets.Limits{Listener: 8, Workers: 6})
 	addr := startServer(t, budget)
 	closing := 0
-	for range 40 { // more than there are places, and all of them stay
+	for range 40 { // more than the listener's limit, and all keep their connection open
 		r, err := get(dial(t, addr), "/work")
 		if err != nil || r.StatusCode != http.StatusOK {
-			t.Fatalf("a worker is not served: %v, %v", r, err)
+			t.Fatalf("worker request failed: %v, %v", r, err)
 		}
 		if r.Close {
 			closing++
 		}
 	}
 	if closing < 30 {
-		t.Errorf("%d of 40 workers were told to close, at most 7 keep a place", closing)
+		t.Errorf("%d of 40 workers got Connection: close, want at least 30", closing)
 	}
-	for range 5 { // these send nothing yet: idle connections of workers are closed for them
+	for range 5 { // these send no request; idle worker connections are closed for them
 		dial(t, addr)
 	}
 	for range 20 {
 		if r, err := get(dial(t, addr), "/up"); err != nil || r.StatusCode != http.StatusOK {
-			t.Fatalf("a user is not served beside the workers: %v, %v", r, err)
+			t.Fatalf("user request failed while workers hold connections: %v, %v", r, err)
 		}
 	}
 	if u := budget.Use(); u.Evicted == 0 || u.Refused > 0 || u.Peak[sockets.Workers] > 7 {
-		t.Errorf("use: %+v", u)
+		t.Errorf("unexpected socket use: %+v", u)
 	}
 }
