--- a/internal/api/answer.go
+++ b/internal/api/answer.go
@@ -10,14 +10,14 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// errStoreUnavailable is answered with 503: neither an outdated status nor a 404 may be
-// returned while the store can't be read.
+// errStoreUnavailable means that the store can't be read. The request is answered with 503,
+// because the answer may be neither an outdated status nor a 404.
 var errStoreUnavailable = errors.New("the state service does not answer")
 
-// maxRetryAfterSeconds bounds the random delay of RetryAnswer.
+// maxRetryAfterSeconds is the upper bound of the random delay in RetryAnswer.
 const maxRetryAfterSeconds = 3
 
-// statusBody is the body of an answer about a job.
+// statusBody is the JSON body of an answer about a job.
 type statusBody struct {
 	ID      string      `json:"nameId"`
 	Stage   model.Stage `json:"stage"`
@@ -33,8 +33,8 @@
 	return httpwire.Answer{Status: status, Body: encoded}
 }
 
-// ErrorAnswer is an answer that gives a reason. A temporary failure (429 or 503) tells
-// the client to retry after a second.
+// ErrorAnswer returns an error answer with a reason. For a temporary failure (429 or 503) it
+// asks the client to retry after a second.
 func ErrorAnswer(status int, reason string) httpwire.Answer {
 	body, _ := json.Marshal(map[string]string{"error": reason})
 	result := httpwire.Answer{Status: status, Body: body}
@@ -44,8 +44,8 @@
 	return result
 }
 
-// RetryAnswer answers a request that there is no capacity for now. The client is told
-// to retry after a random one to three seconds, so that not all come back at once.
+// RetryAnswer returns the answer to a request that can't be served for lack of capacity. It asks
+// the client to retry after a random one to three seconds, so that clients don't all retry at once.
 func RetryAnswer(status int, reason string) httpwire.Answer {
 	result := ErrorAnswer(status, reason)
 	result.RetryAfter = 1 + rand.IntN(maxRetryAfterSeconds)
@@ -58,7 +58,7 @@
 
 func unknownJobAnswer() httpwire.Answer { return ErrorAnswer(http.StatusNotFound, "no such job") }
 
-// statusAnswer answers with a job's stage and the counts of its tasks.
+// statusAnswer returns an answer with a job's stage and the counts of its tasks.
 func (s *Server) statusAnswer(status int, id string, current jobStatus) httpwire.Answer {
 	done, running := current.final.Count, 0
 	if !current.stage.Final() {
--- a/internal/api/dependencies.go
+++ b/internal/api/dependencies.go
@@ -9,10 +9,10 @@
 	"github.com/marlwood/marlwood/internal/store"
 )
 
-// admissionWrite makes the write that accepts a job: an open record, or a waiting one if
-// it has dependencies that are not done, or a final one if one of them is cancelled. A
-// dependency that ends between this read and the write is found by the leader, which
-// reads the final records of the dependencies that are not open.
+// admissionWrite returns the write that accepts a job: an open record, a waiting record if the
+// job has dependencies that are not done, or a final record if one of them is cancelled. If a
+// dependency ends between this read and the write, the leader finds out, because it reads the
+// final records of the dependencies that are not open.
 func (s *Server) admissionWrite(ctx context.Context, job *model.Job) (store.Write, model.Stage, error) {
 	needs, stage, err := s.unfinishedDependencies(ctx, job)
 	if err != nil {
@@ -39,7 +39,8 @@
 }
 
 // unfinishedDependencies returns the dependencies of a job that are not done, and the
-// job's first stage: cancelled if one of them is. All of them share one refresh.
+// job's first stage, which is cancelled if one of them is cancelled. One refresh of the status
+// cache serves all of them.
 func (s *Server) unfinishedDependencies(ctx context.Context, job *model.Job) (needs []string, stage model.Stage, err error) {
 	if len(job.Needs) == 0 {
 		return nil, model.Queued, nil
@@ -68,24 +69,24 @@
 }
 
 // cancelIfDependencyFailed cancels a waiting job if a dependency, direct or transitive,
-// is cancelled, and returns the job's status after it.
+// is cancelled, and returns the resulting status of the job.
 //
-// Guard: there may be no leader for as long as a cancellation may take, or one that is
-// behind with its writes. No user is told that a job waits for a dependency that will
+// Guard: for as long as a cancellation may take, there may be no leader, or a leader that is
+// behind with its writes. No answer may report that a job waits for a dependency that will
 // never be done.
 func (s *Server) cancelIfDependencyFailed(ctx context.Context, id string, current jobStatus) (jobStatus, error) {
 	if !current.waiting {
 		return current, nil
 	}
-	hopeless, err := s.dependencyFailed(ctx, current.needs, map[string]bool{id: true})
-	if err != nil || !hopeless {
+	failed, err := s.dependencyFailed(ctx, current.needs, map[string]bool{id: true})
+	if err != nil || !failed {
 		return current, err
 	}
 	return s.cancelJob(ctx, id)
 }
 
-// dependencyFailed tells whether one of some jobs, or of their transitive dependencies, is
-// cancelled. Jobs in seen are skipped.
+// dependencyFailed reports whether one of the jobs in needs, or one of their transitive
+// dependencies, is cancelled. Jobs in seen are skipped.
 func (s *Server) dependencyFailed(ctx context.Context, needs []string, seen map[string]bool) (bool, error) {
 	for _, id := range needs {
 		if seen[id] {
--- a/internal/api/job_status.go
+++ b/internal/api/job_status.go
@@ -11,30 +11,30 @@
 	"github.com/marlwood/marlwood/internal/store"
 )
 
-// cancelAttempts is how often a cancellation is tried while the job's record changes
-// or the outcome of the transaction is unknown.
+// cancelAttempts is the number of attempts to cancel a job while its record changes or the
+// outcome of the transaction is unknown.
 const cancelAttempts = 4
 
-// jobStatus is a job as read through the store. The zero value is an unknown job.
+// jobStatus is the status of a job as read from the store. The zero value is an unknown job.
 type jobStatus struct {
 	known    bool
-	waiting  bool     // for its dependencies
-	needs    []string // its dependencies, while it waits for them
-	revision uint64   // of the open or waiting record, 0 in a final stage
+	waiting  bool     // the job waits for its dependencies
+	needs    []string // the job's dependencies while it waits for them
+	revision uint64   // revision of the open or waiting record; 0 in a final stage
 	stage    model.Stage
 	record   placement.JobRecord
 	final    placement.FinalJobRecord
 }
 
-// finalStatus is the status of a job in a final stage.
+// finalStatus returns the status of a job in a final stage.
 func finalStatus(final placement.FinalJobRecord) jobStatus {
 	return jobStatus{known: true, stage: final.Stage, final: final}
 }
 
-// find reads a job from the store. The open record is read first: a job moves from
-// waiting to open and from open to final in one transaction each, so it can't be missed
-// in between. A job that isn't found may have moved on from waiting meanwhile, and is
-// therefore read once more.
+// find reads a job from the store. It reads the open record before the final one: a job moves
+// from waiting to open and from open to final in one transaction each, so these reads can't miss
+// it on its way from open to final. A job that isn't found may have left the waiting stage in the
+// meantime, so the open and the final record are then read once more.
 func (s *Server) find(ctx context.Context, id string) (jobStatus, error) {
 	if final, ok := s.finals.Get(id); ok {
 		return finalStatus(final), nil
@@ -42,7 +42,7 @@
 	return firstKnown(ctx, id, s.findOpen, s.findFinal, s.findWaiting, s.findOpen, s.findFinal)
 }
 
-// firstKnown reads one record after the other until the job is found.
+// firstKnown calls the reads in order and returns the first status of a known job.
 func firstKnown(ctx context.Context, id string, reads ...func(context.Context, string) (jobStatus, error)) (jobStatus, error) {
 	for _, read := range reads {
 		if current, err := read(ctx, id); err != nil || current.known {
@@ -52,7 +52,7 @@
 	return jobStatus{}, nil
 }
 
-// findOpen reads a job that waits for no dependency and is in no final stage.
+// findOpen reads a job that waits for no dependency and is not in a final stage.
 func (s *Server) findOpen(ctx context.Context, id string) (jobStatus, error) {
 	current, err := s.findRecord(ctx, placement.JobPrefix+id)
 	if current.record.Started {
@@ -70,7 +70,7 @@
 	return current, err
 }
 
-// findRecord reads the record of a job that is in no final stage.
+// findRecord reads the open or waiting record of a job under key.
 func (s *Server) findRecord(ctx context.Context, key string) (jobStatus, error) {
 	item, err := s.store.Get(ctx, key)
 	if errors.Is(err, store.ErrNotFound) {
@@ -107,7 +107,7 @@
 	return current, nil
 }
 
-// currentStatus returns a job's status, not older than the call.
+// currentStatus returns a job's status as of some time after the call began.
 func (s *Server) currentStatus(ctx context.Context, id string) (jobStatus, error) {
 	if final, ok := s.finals.Get(id); ok {
 		return finalStatus(final), nil
@@ -118,8 +118,8 @@
 	return s.cachedStatus(ctx, id)
 }
 
-// cachedStatus returns a job's status as of the last refresh. A job that the cache
-// lacks is read from the store: no job is called unknown from memory alone.
+// cachedStatus returns a job's status as of the last refresh. A job that is not in the cache is
+// read from the store: a cache miss is not enough to report a job as unknown.
 func (s *Server) cachedStatus(ctx context.Context, id string) (jobStatus, error) {
 	if final, ok := s.finals.Get(id); ok {
 		return finalStatus(final), nil
@@ -139,8 +139,8 @@
 	return current, nil
 }
 
-// cancelJob cancels a job unless it is in a final stage, and returns the stage it ended
-// in. A change of the record or an unknown outcome makes it read the job again.
+// cancelJob cancels a job unless it is in a final stage, and returns its final status. If the
+// record changes or the outcome of the transaction is unknown, it reads the job again and retries.
 func (s *Server) cancelJob(ctx context.Context, id string) (jobStatus, error) {
 	for range cancelAttempts {
 		current, err := s.find(ctx, id)
--- a/internal/api/latch.go
+++ b/internal/api/latch.go
@@ -6,18 +6,19 @@
 	"time"
 )
 
-// Latch blocks those who wait until it is opened. It stays open.
+// Latch blocks its waiters until it is opened. It can't be closed again.
 type Latch interface {
-	// Open releases all who wait; opening it again does nothing.
+	// Open releases all waiters. Further calls have no effect.
 	Open()
-	// Wait returns whether the latch was opened, after at most d or until ctx ends.
+	// Wait waits until the latch is opened, d has passed or ctx is done, and reports whether
+	// the latch was opened.
 	Wait(ctx context.Context, d time.Duration) bool
 }
 
-// NewLatch makes a latch for goroutines, with the real clock.
+// NewLatch returns a Latch for goroutines that uses the real clock.
 func NewLatch() Latch { return &latch{opened: make(chan struct{})} }
 
-// latch is a Latch of goroutines.
+// latch implements Latch with a channel and the real clock.
 type latch struct {
 	once   sync.Once
 	opened chan struct{}
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -1,9 +1,9 @@
-// Package api is the users' API: submission, status and cancellation of jobs.
+// Package api implements the users' API: submission, status and cancellation of jobs.
 //
-// Any controller can answer any request, because jobs live in the consensus-backed
-// key-value store: an answer that may still change is read through the store, and
-// every change is a compare-and-swap transaction there. The package doesn't schedule
-// jobs; it only writes their records, which the leader picks up.
+// Any controller can answer any request, because jobs are kept in the consensus-backed
+// key-value store: a status that may still change is read from the store, and every change
+// is a compare-and-swap transaction there. The package doesn't schedule jobs; it only writes
+// their records, which the leader reads.
 package api
 
 import (
@@ -29,29 +29,29 @@
 	List(ctx context.Context, prefix string) ([]store.Item, uint64, error)
 }
 
-// Options are the deployment's teams, limits and times, and what the API needs from
-// the rest of the controller.
+// Options are the deployment's teams, limits and durations, and the functions that the API
+// needs from the rest of the controller.
 type Options struct {
 	Teams           map[string]model.Team
-	RecordBytes     int           // most bytes of a new job's record; the rest of a value is left for completion data
-	ValueBytes      int           // most bytes of any stored value
-	FinalCache      int           // number of final states that are cached
-	RefreshInterval time.Duration // least time between two refreshes of the status cache
-	QueryTimeout    time.Duration // longest wait of a status query for a refresh
-	// Types returns the machine types, nil while unknown.
+	RecordBytes     int           // maximum size of a new job's record; leaves space for completion data
+	ValueBytes      int           // maximum size of any stored value
+	FinalCache      int           // number of final job records that are cached
+	RefreshInterval time.Duration // pause of the status cache after each refresh
+	QueryTimeout    time.Duration // maximum wait of a status query for a refresh
+	// Types returns the machine types, or nil while they are unknown.
 	Types func() map[string]model.MachineType
-	// JobCounts returns a job's live counts if this controller has them.
+	// JobCounts returns a job's live task counts; the result is false if this controller has none.
 	JobCounts func(id string) (placement.JobCounts, bool)
-	// Now is the time of day.
+	// Now returns the current time.
 	Now func() time.Time
-	// Go runs a function concurrently, Sleep pauses it, and NewLatch makes a latch to
-	// wait for. If Go is nil, all three are set to goroutines and the real clock.
+	// Go runs a function concurrently, Sleep pauses it, and NewLatch returns a latch that it
+	// can wait for. If Go is nil, all three are set to use goroutines and the real clock.
 	Go       func(f func())
 	Sleep    func(ctx context.Context, d time.Duration)
 	NewLatch func() Latch
 }
 
-// Server answers the users' requests. It is safe for concurrent use.
+// Server answers users' requests. It is safe for concurrent use.
 type Server struct {
 	options  Options
 	store    Store
@@ -59,11 +59,11 @@
 	finals   *lru.Cache[string, placement.FinalJobRecord]
 }
 
-// New makes a server over a store.
+// New returns a server that keeps jobs in a store.
 func New(options Options, store Store) (*Server, error) {
 	finals, err := lru.New[string, placement.FinalJobRecord](options.FinalCache)
 	if err != nil {
-		return nil, fmt.Errorf("intake: %w", err)
+		return nil, fmt.Errorf("create cache of final job records: %w", err)
 	}
 	if options.Go == nil {
 		options.Go = func(f func()) { go f() }
@@ -78,7 +78,7 @@
 	}, nil
 }
 
-// Status answers a status query.
+// Status answers a query for the status of a job.
 func (s *Server) Status(ctx context.Context, id string) httpwire.Answer {
 	current, err := s.currentStatus(ctx, id)
 	if err == nil {
@@ -93,8 +93,8 @@
 	return s.statusAnswer(http.StatusOK, id, current)
 }
 
-// Cancel answers the cancellation of a job. It doesn't cancel the jobs that depend on
-// it: the leader does that, and so does a query for one of them.
+// Cancel cancels a job and answers with its final stage. It doesn't cancel the jobs that depend
+// on it: the leader does that, and so does a status query for one of them.
 func (s *Server) Cancel(ctx context.Context, id string) httpwire.Answer {
 	current, err := s.cancelJob(ctx, id)
 	switch {
@@ -106,15 +106,14 @@
 	return jsonAnswer(http.StatusOK, statusBody{ID: id, Stage: current.stage})
 }
 
-// Call is the handler of a request under /api/jobs.
+// Call is the handler of a request under /api/jobs, as found by Route.
 type Call struct {
 	Serve    func(context.Context) httpwire.Answer // nil: the method is not allowed
 	ReadOnly bool                                  // the request changes nothing
 }
 
-// Route finds the handler of a request. ok is false for paths that are not under
-// /api/jobs; a call without a handler and with ok means that the method is not
-// allowed there.
+// Route returns the handler of a request. ok is false for paths that the API doesn't serve. If ok
+// is true and call.Serve is nil, the path doesn't allow the method.
 func (s *Server) Route(req *httpwire.Request) (call Call, ok bool) {
 	suffix, found := strings.CutPrefix(req.Path, "/api/jobs")
 	if !found || (suffix != "" && suffix[0] != '/') {
@@ -133,7 +132,7 @@
 	return s.routeJob(req.Method, id, isCancel), true
 }
 
-// routeJob finds the handler of a request for one job.
+// routeJob returns the handler of a request for one job.
 func (s *Server) routeJob(method, id string, isCancel bool) Call {
 	allowed := http.MethodGet
 	if isCancel {
--- a/internal/api/status_cache.go
+++ b/internal/api/status_cache.go
@@ -13,18 +13,19 @@
 	"github.com/marlwood/marlwood/internal/store"
 )
 
-// statusCache holds the status of every job that is in no final stage, from one listing
-// and the changes since. It answers queries from memory without ever returning a status
-// older than the query: the queries that arrive meanwhile share one refresh (a read of
-// the changes since the last one) and are answered after it. So the load on the store
-// doesn't grow with the number of users. A job that the cache lacks is in a final stage
-// or was never accepted, which one read tells.
+// statusCache holds the status of every job that is not in a final stage, from one listing and
+// the changes since. It answers queries from memory but never returns a status older than the
+// query: queries that arrive during a refresh share the next one (a read of the changes since
+// the last refresh) and are answered after it. The load on the store therefore doesn't grow with
+// the number of users. A job that is not in the cache is in a final stage, which one read of its
+// final record shows, or was never accepted; in the second case its open and waiting records are
+// read too.
 //
-// Guard: with one read for each query, users who asked more often than usual took the
-// controller's whole share of the store, and submissions queued behind them.
+// Guard: with one read for each query, users who sent more queries than usual used up the
+// controller's whole share of the store, and submissions queued behind the queries.
 //
-// Guard: filled by reading job by job, it took a restarted controller minutes to know a
-// thousand jobs that wait for their dependencies; users got no answer for so long that
+// Guard: when the cache was filled by reading job by job, a restarted controller took minutes to
+// read a thousand jobs that wait for their dependencies; users got no answer for so long that
 // their jobs counted as lost.
 type statusCache struct {
 	store   Store
@@ -32,20 +33,20 @@
 
 	mu                sync.Mutex
 	state             refreshState
-	nextBatch         *refreshBatch // is sent next; queries may still join it
+	nextBatch         *refreshBatch // the next refresh to send; queries may still join it
 	lastRefreshFailed bool
-	refreshSentAt     time.Time // of the refresh in progress; zero: none is
+	refreshSentAt     time.Time // start of the refresh in progress; zero if there is none
 	jobs              map[string]openJob
-	revision          uint64 // up to which changes are applied; 0: nothing was listed yet
+	revision          uint64 // revision up to which changes are applied; 0 before the first listing
 	refreshedAt       time.Time
 }
 
-// refreshState tells whether the refresh loop runs.
+// refreshState is the state of the refresh loop.
 type refreshState int
 
 const (
-	refreshIdle    refreshState = iota // no query waits
-	refreshRunning                     // a goroutine refreshes until no query waits
+	refreshIdle    refreshState = iota // the loop is not running because no query waits
+	refreshRunning                     // the loop is running until no query waits
 )
 
 // refreshBatch is one refresh, shared by the queries that wait for it.
@@ -54,9 +55,9 @@
 	err  error // set before done is opened
 }
 
-// openJob is what is cached of a job that is in no final stage.
+// openJob is the cached part of the record of a job that is not in a final stage.
 type openJob struct {
-	waiting bool // for its dependencies
+	waiting bool // the job waits for its dependencies
 	Job     struct {
 		Needs []string `json:"awaits"`
 	} `json:"job"`
@@ -70,8 +71,9 @@
 	return &statusCache{store: store, options: options, jobs: map[string]openJob{}}
 }
 
-// refresh returns after a refresh that was sent after the call. While refreshes fail or
-// take long, it waits only a fraction of the query timeout and returns an error.
+// refresh waits for a refresh that is sent after the call, for at most the query timeout. While
+// refreshes fail or take long, it waits for only a fraction of that timeout. It returns an error
+// if the refresh failed or did not end in time.
 func (c *statusCache) refresh(ctx context.Context) error {
 	c.mu.Lock()
 	if c.nextBatch == nil {
@@ -116,11 +118,11 @@
 }
 
 // applyChanges reads and applies the changes since a revision. If they are no longer
-// available, it lists all jobs again.
+// available, or if a listing costs less, it lists all jobs again.
 //
-// Guard: a listing may take longer than any query waits; it is continued for later
-// queries. When it ended with the query, it was restarted for each, and with a slow store
-// none was ever complete.
+// Guard: a listing may take longer than any query waits; it then continues for later queries.
+// When a listing was aborted at the end of its query, each query started a new one, and with a
+// slow store no listing was ever completed.
 func (c *statusCache) applyChanges(revision uint64) error {
 	events, next, err := c.readChanges(revision)
 	relisted := errors.Is(err, store.ErrCompacted)
@@ -142,8 +144,8 @@
 	return nil
 }
 
-// readChanges reads the changes since a revision, and the revision up to which they are
-// complete. It returns store.ErrCompacted where a listing is needed, or costs less.
+// readChanges returns the changes since a revision, and the revision up to which they are
+// complete. It returns store.ErrCompacted if a listing is needed or costs less.
 func (c *statusCache) readChanges(revision uint64) ([]store.Event, uint64, error) {
 	if revision == 0 || c.options.Now().Sub(c.refreshedAt) >= maxWatchGap {
 		return nil, 0, store.ErrCompacted
@@ -153,7 +155,7 @@
 	return c.store.Watch(ctx, placement.OpenPrefix, revision, 0)
 }
 
-// listJobs reads all jobs that are in no final stage, as if each had just been written.
+// listJobs lists all jobs that are not in a final stage, and returns each as a write event.
 func (c *statusCache) listJobs() ([]store.Event, uint64, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), listTimeout)
 	defer cancel()
@@ -169,11 +171,11 @@
 }
 
 const (
-	// listTimeout bounds a listing: six pages of a store that answers each up to three
-	// seconds late, most of them requested twice.
+	// listTimeout bounds a listing. It allows for six pages from a store that answers each
+	// request up to three seconds late, with most pages requested twice.
 	listTimeout = 30 * time.Second
-	// maxWatchGap is the time without queries after which a listing costs less than the
-	// changes since the last refresh.
+	// maxWatchGap is the time since the last refresh after which a listing costs less than
+	// reading the changes.
 	maxWatchGap = time.Minute
 	// degradedWaitDivisor shortens the wait of queries while refreshes fail or are slow.
 	degradedWaitDivisor = 10
@@ -181,9 +183,9 @@
 
 // applyEvent applies one change of a job's record.
 //
-// Guard: a job whose dependencies are done loses its waiting record and gets an open one in
-// the same transaction, and the two events come in any order. Taken for the end of the job,
-// the deletion would hide that it runs.
+// Guard: when a job's dependencies are done, one transaction deletes its waiting record and
+// writes an open record, and the two events arrive in any order. If the deletion were treated as
+// the end of the job, it would hide that the job runs.
 func (c *statusCache) applyEvent(event store.Event) {
 	if id, ok := strings.CutPrefix(event.Delete, placement.WaitPrefix); ok {
 		if c.jobs[id].waiting {
@@ -210,7 +212,7 @@
 	c.jobs[id] = job
 }
 
-// lookup returns what is cached of a job.
+// lookup returns the cached record of a job.
 func (c *statusCache) lookup(id string) (job openJob, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/api/submission.go
+++ b/internal/api/submission.go
@@ -14,21 +14,21 @@
 	"github.com/marlwood/marlwood/internal/store"
 )
 
-// Why a submission isn't accepted, besides a validationError and a *model.FieldError.
+// Reasons to reject a submission, besides a validationError and a *model.FieldError.
 var (
 	errNoTypes           = errors.New("the machine types are not known yet")
 	errUnknownDependency = errors.New("field awaits: a job that it awaits was never accepted; submit that one first")
 	errTooLong           = errors.New("fields docket, kit, hulls, awaits: description too long; use shorter names or fewer of them")
 )
 
-// validationError is the reason why a well-formed job can never run in this deployment.
+// validationError states why a well-formed job can never run in this deployment.
 type validationError struct {
-	fields []string // names on the wire
+	fields []string // JSON names of the fields
 	reason string
 	remedy string
 }
 
-// Error names the fields, the reason and the remedy, for the user.
+// Error returns the fields, the reason and the remedy as a message for the user.
 func (e *validationError) Error() string {
 	label := "field"
 	if len(e.fields) > 1 {
@@ -37,18 +37,18 @@
 	return fmt.Sprintf("%s %s: %s; %s", label, strings.Join(e.fields, ", "), e.reason, e.remedy)
 }
 
-// Submit answers the submission of a job. Submissions are idempotent by the job's id: a
-// repeat is answered with the job's status.
+// Submit accepts or rejects a submitted job. Submissions are idempotent by the job's id: a
+// repeated submission is answered with the job's status.
 //
-// Guard: whatever keeps a submission from being validated or accepted, it may repeat a known job, whose
-// user gets the job's status: also while the machine types are unknown, or a dependency can't be read.
+// Guard: a submission that can't be validated or accepted may still repeat a known job. Its user
+// then gets the job's status, also while the machine types are unknown or a dependency can't be read.
 func (s *Server) Submit(ctx context.Context, body []byte) httpwire.Answer {
 	job, err := model.ParseJob(body)
 	if err != nil {
 		return s.rejectUnlessKnown(ctx, body, err)
 	}
-	// Guard: the store counts a write whose preconditions fail like any other. Repeated submissions
-	// took a quarter of its budget when small jobs came four a second.
+	// Guard: a write whose preconditions fail counts against the store's budget like any other.
+	// Repeated submissions took a quarter of that budget when four small jobs a second were submitted.
 	if s.isKnown(job.ID) {
 		if current, err := s.find(ctx, job.ID); err == nil && current.known {
 			return s.answerRepeat(ctx, job.ID, current)
@@ -69,39 +69,40 @@
 	return s.commitSubmission(ctx, body, job.ID, write, stage)
 }
 
-// validate decides whether a job can run at all.
+// validate returns an error if a job can never run in this deployment.
 //
-// Zones: a zone may hold half of the tasks of a job with anti-affinity, rounded up, at a time. The tasks of
-// an array take turns there and a service runs with half of its replicas; a gang of more never starts.
+// A zone may run at most half of the tasks of a job with anti-affinity, rounded up, at a time. If such
+// a job is limited to one zone, an array runs its other tasks later and a service runs with half of its
+// replicas, but a gang with more tasks than that never starts.
 func (s *Server) validate(job *model.Job, types map[string]model.MachineType) error {
 	team, ok := s.options.Teams[job.Team]
 	if !ok {
 		return &validationError{[]string{"crew"}, fmt.Sprintf("unknown team %.100q", job.Team), "name one of the settings' teams"}
 	}
 	zones := allowedZones(job, types)
-	together := 1 // tasks that must run at the same time
+	concurrent := 1 // tasks that must run at the same time
 	if job.Shape != model.Array {
-		together = job.Tasks
+		concurrent = job.Tasks
 	}
 	zoneCap, gang := job.ZoneCap(), job.Shape == model.Gang
 	switch {
 	case len(zones) == 0:
 		return &validationError{[]string{"cpus", "cards", "memoryGb", "hulls", "yard"},
 			"a task fits no allowed machine type", "ask for less, or allow more types or zones"}
-	case gang && job.OneZone && together > zoneCap:
+	case gang && job.OneZone && concurrent > zoneCap:
 		return &validationError{[]string{"together", "apart"},
-			fmt.Sprintf("one zone may hold %d of the %d tasks and has to hold all", zoneCap, together), "unset one of the two"}
-	case gang && together > zoneCap*len(zones):
+			fmt.Sprintf("one zone may hold %d of the %d tasks and has to hold all", zoneCap, concurrent), "unset one of the two"}
+	case gang && concurrent > zoneCap*len(zones):
 		return &validationError{[]string{"apart", "hulls", "yard"},
-			fmt.Sprintf("the one allowed zone may hold %d of the %d tasks", zoneCap, together), "allow another zone, or unset apart"}
-	case !team.WithinLimit(job.Size.Times(together)):
+			fmt.Sprintf("the one allowed zone may hold %d of the %d tasks", zoneCap, concurrent), "allow another zone, or unset apart"}
+	case !team.WithinLimit(job.Size.Times(concurrent)):
 		return &validationError{[]string{"cpus", "cards", "pieces"},
 			"needs more than the limit of team " + job.Team, "ask for less"}
 	}
 	return nil
 }
 
-// allowedZones are the zones with a machine type that the job's tasks may run on.
+// allowedZones returns the zones with a machine type that the job's tasks may run on.
 func allowedZones(job *model.Job, types map[string]model.MachineType) map[string]bool {
 	zones := map[string]bool{}
 	for _, machineType := range types {
@@ -114,8 +115,8 @@
 	return zones
 }
 
-// dropUnknownTypes removes names of unknown machine types and duplicates: they are of no
-// use and take space in the job's record.
+// dropUnknownTypes removes unknown and duplicate machine types from a job, because they have no
+// effect and take space in its record.
 func dropUnknownTypes(job *model.Job, types map[string]model.MachineType) {
 	if job.Types == nil {
 		return
@@ -148,7 +149,7 @@
 	if err != nil && !errors.Is(err, store.ErrUnknown) {
 		return unavailableAnswer()
 	}
-	// The job is known already, or the outcome is unknown: only a read can tell.
+	// Either the job is known already or the outcome is unknown; a read finds out which.
 	current, err := s.find(ctx, id)
 	if err != nil || !current.known {
 		return unavailableAnswer()
@@ -156,8 +157,8 @@
 	return s.answerRepeat(ctx, id, current)
 }
 
-// isKnown tells whether the caches know a job. They may be outdated: that is reason
-// enough to read before writing, but no answer.
+// isKnown reports whether a job is in one of the caches. The caches may be outdated, so a hit
+// justifies a read before the write, but it is not enough for an answer.
 func (s *Server) isKnown(id string) bool {
 	_, open := s.statuses.lookup(id)
 	return open || s.finals.Contains(id)
@@ -178,7 +179,8 @@
 	return s.statusAnswer(http.StatusOK, id, current)
 }
 
-// rejectUnlessKnown answers a submission that isn't accepted, unless it repeats a known job.
+// rejectUnlessKnown rejects a submission for cause, unless it repeats a known job; that is
+// answered with the job's status.
 func (s *Server) rejectUnlessKnown(ctx context.Context, body []byte, cause error) httpwire.Answer {
 	if id := model.JobID(body); id != "" {
 		current, err := s.find(ctx, id)
@@ -192,8 +194,8 @@
 	return rejection(cause)
 }
 
-// rejection maps the reason why a submission isn't accepted to an answer. A stored record
-// that can't be parsed is a failure of the store, also where it wraps a *model.FieldError.
+// rejection returns the answer to a submission that is rejected for cause. A stored record that
+// can't be parsed counts as a failure of the store, even if its error wraps a *model.FieldError.
 func rejection(cause error) httpwire.Answer {
 	var malformed *model.FieldError
 	var invalid *validationError
