--- a/internal/api/answer_scripts_test.go
+++ b/internal/api/answer_scripts_test.go
@@ -6,19 +6,19 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// jobID is the job that the scripts are about.
+// jobID is the id of the job that the scripts submit.
 const jobID = "req-1"
 
-// answerScript is a sequence of concurrent requests and events in the store.
+// answerScript is a sequence of concurrent requests and changes of the job's records.
 type answerScript struct {
 	name   string
-	script func(m *concurrentUsers) string // returns what resulted; "" for nothing to count
-	seen   []string                        // every result over the seeds
+	script func(m *concurrentUsers) string // returns the result of one run
+	want   []string                        // the results that must occur over the seeds; no others may
 }
 
-// answerScripts are the rows of TestNoOlderAnswer.
+// answerScripts are the rows of TestAnswersAreNeverStale.
 var answerScripts = []answerScript{
-	{"asked before, and right after it was accepted", func(m *concurrentUsers) string {
+	{"queried before and right after it is accepted", func(m *concurrentUsers) string {
 		m.burst(jobID, "ask")
 		m.burst("req-none", "ask", "cancel")
 		m.users.Wait()
@@ -27,19 +27,19 @@
 		m.users.Wait()
 		return "accepted"
 	}, []string{"accepted"}},
-	{"asked while it is submitted at all nodes", func(m *concurrentUsers) string {
+	{"queried while it is submitted to all controllers", func(m *concurrentUsers) string {
 		m.burst(jobID, "submit", "ask")
 		m.users.Wait()
 		return "accepted"
 	}, []string{"accepted"}},
-	{"cancelled right after it was accepted", func(m *concurrentUsers) string {
+	{"cancelled right after it is accepted", func(m *concurrentUsers) string {
 		m.send(0, "submit", jobID)
 		m.users.Go(func() { m.send(1, "cancel", jobID); m.burst(jobID, "ask", "submit", "cancel") })
 		m.burst(jobID, "ask", "submit")
 		m.users.Wait()
 		return string(m.storedStage(jobID))
 	}, []string{"aborted"}},
-	{"ends while all nodes are asked", func(m *concurrentUsers) string {
+	{"completes while all controllers are queried", func(m *concurrentUsers) string {
 		m.send(0, "submit", jobID)
 		m.startJob()
 		m.users.Go(func() { m.completeJob(jobID); m.burst(jobID, "ask", "submit", "cancel") })
@@ -47,26 +47,26 @@
 		m.users.Wait()
 		return string(m.storedStage(jobID))
 	}, []string{"done"}},
-	{"starts while all nodes are asked", func(m *concurrentUsers) string {
+	{"starts while all controllers are queried", func(m *concurrentUsers) string {
 		m.send(0, "submit", jobID)
 		m.users.Go(func() { m.startJob(); m.burst(jobID, "ask", "submit") })
 		m.burst(jobID, "ask", "submit")
 		m.users.Wait()
 		return string(m.send(2, "ask", jobID).stage)
 	}, []string{"running"}},
-	{"ended long ago", func(m *concurrentUsers) string {
+	{"completed an hour ago", func(m *concurrentUsers) string {
 		m.send(0, "submit", jobID)
 		m.burst(jobID, "ask")
 		m.users.Wait()
 		m.completeJob(jobID)
-		time.Sleep(time.Hour) // the cache is listed again
+		time.Sleep(time.Hour) // the caches need a new listing
 		m.burst(jobID, "ask")
 		m.users.Wait()
 		m.burst(jobID, "ask", "submit", "cancel")
 		m.users.Wait()
 		return string(m.storedStage(jobID))
 	}, []string{"done"}},
-	{"its end meets three cancellations", func(m *concurrentUsers) string {
+	{"completes while all controllers receive cancellations", func(m *concurrentUsers) string {
 		m.send(0, "submit", jobID)
 		m.startJob()
 		m.users.Go(func() { m.completeJob(jobID) })
@@ -76,7 +76,7 @@
 		m.users.Wait()
 		return string(m.storedStage(jobID))
 	}, []string{"done", "aborted"}},
-	{"saved again and again while it is cancelled", func(m *concurrentUsers) string {
+	{"its record is written repeatedly while it is cancelled", func(m *concurrentUsers) string {
 		m.send(0, "submit", jobID)
 		m.users.Go(func() {
 			for range 5 {
@@ -90,7 +90,7 @@
 		m.users.Wait()
 		return string(m.storedStage(jobID))
 	}, []string{"aborted"}},
-	{"the submission's answer is lost, others read what it wrote", func(m *concurrentUsers) string {
+	{"response to the submission's commit is lost, others read the record", func(m *concurrentUsers) string {
 		m.links[0].outcomes = []commitOutcome{responseLost}
 		m.users.Go(func() { m.send(0, "submit", jobID) })
 		m.burst(jobID, "ask")
@@ -99,7 +99,7 @@
 		m.users.Wait()
 		return joinWords(m.send(2, "ask", jobID).stage, len(m.links[0].outcomes))
 	}, []string{"queued 0"}},
-	{"the submission is carried out late, after its repeat and a cancellation", func(m *concurrentUsers) string {
+	{"submission is committed late, after its repeat and a cancellation", func(m *concurrentUsers) string {
 		m.links[0].outcomes = []commitOutcome{committedLate}
 		first := m.send(0, "submit", jobID)
 		m.burst(jobID, "ask")
@@ -113,7 +113,7 @@
 		_, open := m.store.keys["job/"+jobID]
 		return joinWords(first.status, m.storedStage(jobID), open)
 	}, []string{"503 aborted false"}},
-	{"the submission is carried out late, after its repeat ended", func(m *concurrentUsers) string {
+	{"submission is committed late, after the repeated job completed", func(m *concurrentUsers) string {
 		m.links[0].outcomes = []commitOutcome{committedLate}
 		first := m.send(0, "submit", jobID)
 		m.retryWhileUnavailable(1, "submit")
@@ -125,7 +125,7 @@
 		_, open := m.store.keys["job/"+jobID]
 		return joinWords(first.status, m.storedStage(jobID), open)
 	}, []string{"503 done false"}},
-	{"the submission is carried out late, nobody repeats it before", func(m *concurrentUsers) string {
+	{"submission is committed late, with no repeat before", func(m *concurrentUsers) string {
 		m.links[0].outcomes = []commitOutcome{committedLate}
 		first := m.send(0, "submit", jobID)
 		m.burst(jobID, "ask")
@@ -135,7 +135,7 @@
 		m.users.Wait()
 		return joinWords(first.status, m.send(1, "ask", jobID).stage)
 	}, []string{"503 queued"}},
-	{"the cancellation's answer is lost, others read what it wrote", func(m *concurrentUsers) string {
+	{"response to the cancellation's commit is lost, others read the record", func(m *concurrentUsers) string {
 		m.send(0, "submit", jobID)
 		m.links[0].outcomes = []commitOutcome{responseLost}
 		m.users.Go(func() { m.send(0, "cancel", jobID); m.burst(jobID, "ask", "submit", "cancel") })
@@ -143,15 +143,15 @@
 		m.users.Wait()
 		return joinWords(m.storedStage(jobID), len(m.links[0].outcomes))
 	}, []string{"aborted 0"}},
-	{"the cancellation's answer is lost, the job's end is under way", func(m *concurrentUsers) string {
+	{"response to the cancellation's commit is lost while the job completes", func(m *concurrentUsers) string {
 		m.send(0, "submit", jobID)
 		m.links[0].outcomes = []commitOutcome{responseLost}
 		m.users.Go(func() { m.send(0, "cancel", jobID); m.burst(jobID, "ask", "submit", "cancel") })
 		m.users.Go(func() { m.completeJob(jobID) })
 		m.users.Wait()
 		return joinWords(m.storedStage(jobID), len(m.links[0].outcomes))
-	}, []string{"aborted 0", "done 0", "done 1"}}, // the last: read as done before anything was written
-	{"the cancellation is carried out late, the job ended before", func(m *concurrentUsers) string {
+	}, []string{"aborted 0", "done 0", "done 1"}}, // done 1: the cancellation read the job as done and committed nothing
+	{"cancellation is committed late, after the job completed", func(m *concurrentUsers) string {
 		m.send(0, "submit", jobID)
 		m.links[0].outcomes = []commitOutcome{committedLate, committedLate, committedLate, committedLate}
 		a := m.send(0, "cancel", jobID)
@@ -162,7 +162,7 @@
 		m.users.Wait()
 		return joinWords(a.status, ended, m.storedStage(jobID))
 	}, []string{"503 true done"}},
-	{"the cancellation is carried out late, the job was saved before", func(m *concurrentUsers) string {
+	{"cancellation is committed late, after the job started", func(m *concurrentUsers) string {
 		m.send(0, "submit", jobID)
 		m.links[0].outcomes = []commitOutcome{committedLate, committedLate, committedLate, committedLate}
 		a := m.send(0, "cancel", jobID)
@@ -173,7 +173,7 @@
 		m.users.Wait()
 		return joinWords(a.status, m.send(1, "ask", jobID).stage)
 	}, []string{"503 running"}},
-	{"the cancellation is carried out late, nothing came before", func(m *concurrentUsers) string {
+	{"cancellation is committed late, with no change before", func(m *concurrentUsers) string {
 		m.send(0, "submit", jobID)
 		m.links[0].outcomes = []commitOutcome{committedLate, committedLate, committedLate, committedLate}
 		a := m.send(0, "cancel", jobID)
@@ -183,7 +183,7 @@
 		m.users.Wait()
 		return joinWords(a.status, m.storedStage(jobID))
 	}, []string{"503 aborted"}},
-	{"the answer of its end is lost", func(m *concurrentUsers) string {
+	{"response to the commit of its completion is lost", func(m *concurrentUsers) string {
 		m.send(0, "submit", jobID)
 		m.startJob()
 		m.leader.outcomes = []commitOutcome{responseLost}
@@ -193,8 +193,8 @@
 		m.burst(jobID, "ask", "submit", "cancel")
 		m.users.Wait()
 		return joinWords(m.storedStage(jobID), len(m.leader.outcomes))
-	}, []string{"done 0", "aborted 0", "aborted 1"}}, // 1: cancelled before its end was sent
-	{"released while it is asked about, submitted and cancelled", func(m *concurrentUsers) string {
+	}, []string{"done 0", "aborted 0", "aborted 1"}}, // aborted 1: cancelled before its completion was sent to the store
+	{"released while it is queried, submitted and cancelled", func(m *concurrentUsers) string {
 		m.send(0, "submit", "req-need")
 		m.sendBody(0, "submit", jobID, submissionNeeding(jobID, "req-need"))
 		m.completeJob("req-need")
@@ -205,7 +205,7 @@
 		m.users.Wait()
 		return joinWords(released, m.storedStage(jobID))
 	}, []string{"true aborted", "false aborted"}},
-	{"released while it is asked about", func(m *concurrentUsers) string {
+	{"released while it is queried", func(m *concurrentUsers) string {
 		m.send(0, "submit", "req-need")
 		m.sendBody(0, "submit", jobID, submissionNeeding(jobID, "req-need"))
 		m.completeJob("req-need")
@@ -222,7 +222,7 @@
 		m.users.Wait()
 		return string(m.storedStage(jobID))
 	}, []string{"done"}},
-	{"what it awaits is cancelled while all nodes are asked", func(m *concurrentUsers) string {
+	{"its dependency is cancelled while all controllers are queried", func(m *concurrentUsers) string {
 		m.send(0, "submit", "req-need")
 		m.sendBody(0, "submit", jobID, submissionNeeding(jobID, "req-need"))
 		m.burst(jobID, "ask", "submit")
@@ -230,7 +230,7 @@
 		m.burst(jobID, "ask")
 		m.users.Wait()
 		if got := m.send(2, "ask", jobID); got.stage != model.Cancelled {
-			m.t.Errorf("told %s though what it awaits is cancelled", got.stage)
+			m.t.Errorf("got stage %s after its dependency was cancelled", got.stage)
 		}
 		return string(m.storedStage(jobID))
 	}, []string{"aborted"}},
--- a/internal/api/answers_test.go
+++ b/internal/api/answers_test.go
@@ -20,25 +20,25 @@
 	"github.com/marlwood/marlwood/internal/store"
 )
 
-// commitOutcome is what becomes of a transaction.
+// commitOutcome is how a transaction ends for the store and for its sender.
 type commitOutcome int
 
 const (
 	committed commitOutcome = iota
 	responseLost
-	committedLate // no response; committed seconds later
+	committedLate // no response; committed two to four seconds later
 )
 
-// delayedStore is one controller's connection to the store. Requests and responses are delayed at random, so
-// that both overtake each other.
+// delayedStore is one controller's connection to the store. It delays requests and responses at random, so that
+// both can overtake each other.
 type delayedStore struct {
 	store    *fakeStore
 	mu       sync.Mutex
 	rng      *rand.Rand
-	outcomes []commitOutcome // of the next transactions; committed when there are none left
+	outcomes []commitOutcome // outcomes of the next transactions; committed if none are left
 }
 
-// delay is the transfer in one direction: mostly short, a third of the time long.
+// delay sleeps for the transfer in one direction: below 1 ms, and in a third of the cases up to 20 ms longer.
 func (w *delayedStore) delay() {
 	w.mu.Lock()
 	duration := time.Duration(w.rng.IntN(int(time.Millisecond)))
@@ -80,7 +80,7 @@
 	case committedLate:
 		go func() {
 			time.Sleep(lateBy)
-			_, _ = w.store.Commit(context.Background(), t) // its outcome is never reported
+			_, _ = w.store.Commit(context.Background(), t) // the sender never gets its outcome
 		}()
 		time.Sleep(100 * time.Millisecond)
 		return store.TxnResult{}, store.ErrUnknown
@@ -95,7 +95,7 @@
 	return w.store.Commit(ctx, t)
 }
 
-// observation is one answer, with the times of the request and of the answer.
+// observation is one answer and the times when the request was sent and the answer received.
 type observation struct {
 	id, request    string
 	node           int
@@ -104,7 +104,7 @@
 	stage          model.Stage
 }
 
-// progress ranks what an answer says of a job: a later answer may not rank lower.
+// progress ranks the status of a job in an answer. An answer to a later request may not rank lower.
 func (a observation) progress() int {
 	switch {
 	case a.status == http.StatusNotFound:
@@ -117,7 +117,8 @@
 	return 1
 }
 
-// concurrentUsers is three servers over one store, a leader that ends jobs, and users who call all servers.
+// concurrentUsers consists of three servers over one store, a leader that writes job records, and users who send
+// requests to all servers.
 type concurrentUsers struct {
 	t            *testing.T
 	store        *fakeStore
@@ -151,7 +152,7 @@
 	return users
 }
 
-// send sends a request about a job to one server and keeps the answer.
+// send sends a request about a job to one server and records the answer.
 func (m *concurrentUsers) send(node int, request, id string) observation {
 	return m.sendBody(node, request, id, submissionBody(`"req-1"`, `"`+id+`"`))
 }
@@ -203,7 +204,8 @@
 	}
 }
 
-// completeJob ends a job as the leader does, from what it knows of the record, and tells whether it did.
+// completeJob writes a job's final record as the leader does, provided that the open record has not changed since
+// the leader read it. It reports whether the write was confirmed.
 func (m *concurrentUsers) completeJob(id string) bool {
 	item, err := m.leader.Get(context.Background(), "job/"+id)
 	if err != nil {
@@ -219,7 +221,7 @@
 	return err == nil && result.Succeeded()
 }
 
-// startJob writes a job's record as the leader does when it starts.
+// startJob writes the job's record as the leader does when the job starts.
 func (m *concurrentUsers) startJob() {
 	item, err := m.leader.Get(context.Background(), "job/"+jobID)
 	if err != nil {
@@ -232,7 +234,7 @@
 	})
 }
 
-// releaseJob moves a waiting job as the leader does.
+// releaseJob turns a waiting record into an open one as the leader does when the job's dependencies are done.
 func (m *concurrentUsers) releaseJob(id string) bool {
 	item, err := m.leader.Get(context.Background(), "job-waiting/"+id)
 	if err != nil {
@@ -245,7 +247,7 @@
 	return err == nil && result.Succeeded()
 }
 
-// storedStage is the final stage that is stored of a job; "" if it is in none.
+// storedStage returns the stored final stage of a job, or "" if it is not in a final stage.
 func (m *concurrentUsers) storedStage(id string) model.Stage {
 	current, err := (&Server{store: m.store, finals: m.servers[0].finals}).findFinal(context.Background(), id)
 	if err != nil {
@@ -254,11 +256,11 @@
 	return current.stage
 }
 
-// joinWords joins the values of a result.
+// joinWords joins the values of a script's result with spaces.
 func joinWords(all ...any) string { return strings.TrimSuffix(fmt.Sprintln(all...), "\n") }
 
-// check looks for answers that are older than one received before they were requested, that contradict
-// each other or what is stored, and that no user should ever get.
+// check returns an error for each answer that is older than one received before its request was sent, that
+// contradicts another answer or the store, or that no user may get.
 func (m *concurrentUsers) check() error {
 	cancelled := map[string]bool{}
 	for _, a := range m.observations {
@@ -270,7 +272,7 @@
 			continue
 		}
 		if !a.expectedStatus() {
-			faults = append(faults, fault("odd status", a))
+			faults = append(faults, fault("unexpected status", a))
 			continue
 		}
 		faults = append(faults, m.checkOne(a, cancelled))
@@ -283,7 +285,7 @@
 	return errors.Join(faults...)
 }
 
-// expectedStatus tells whether the request may have the status of the answer.
+// expectedStatus reports whether the kind of request allows the status of the answer.
 func (a observation) expectedStatus() bool {
 	switch a.status {
 	case http.StatusOK:
@@ -296,7 +298,7 @@
 	return false
 }
 
-// fault makes the error of a rule that answers break.
+// fault returns an error that names the broken rule and the answers that break it.
 func fault(rule string, answers ...observation) error {
 	for _, a := range answers {
 		rule += fmt.Sprintf("; %s %s at %d, %v to %v: %d %s", a.request, a.id, a.node,
@@ -305,26 +307,26 @@
 	return errors.New(rule)
 }
 
-// checkOne compares an answer with what is stored.
+// checkOne compares an answer with the stored record and the requests.
 func (m *concurrentUsers) checkOne(a observation, cancelled map[string]bool) error {
 	switch {
 	case a.id == "req-none" && a.status != http.StatusNotFound:
 		return fault("invented", a)
 	case a.stage.Final() && a.stage != m.storedStage(a.id):
-		return fault(fmt.Sprintf("told other than stored, %q", m.storedStage(a.id)), a)
+		return fault(fmt.Sprintf("answer differs from the stored stage %q", m.storedStage(a.id)), a)
 	case a.stage == model.Cancelled && !cancelled[a.id] && !cancelled["req-need"]:
-		return fault("nobody cancelled it", a)
+		return fault("cancelled without a cancel request", a)
 	case a.request == "cancel" && a.status == http.StatusOK && !a.stage.Final():
-		return fault("a cancellation ends nothing", a)
+		return fault("confirmed cancellation without a final stage", a)
 	}
 	return nil
 }
 
-// checkPair compares two answers about one job; each pair is checked in both orders, once with first set.
+// checkPair compares two answers about one job. Each pair is checked in both orders; first is set in one of them.
 func checkPair(a, b observation, first bool) error {
 	var faults []error
 	if !b.sent.Before(a.received) && b.progress() < a.progress() {
-		faults = append(faults, fault("older answer", a, b))
+		faults = append(faults, fault("stale answer", a, b))
 	}
 	if first && a.status == http.StatusCreated && b.status == http.StatusCreated {
 		faults = append(faults, fault("accepted twice", a, b))
@@ -332,10 +334,11 @@
 	return errors.Join(faults...)
 }
 
-// Whatever meets at three controllers within milliseconds, and whatever becomes of the store's responses:
-// no answer is older than one that was received before the request, and one compare-and-swap decides how a
-// job ends. Each row names the results that its script must have had over the seeds.
-func TestNoOlderAnswer(t *testing.T) {
+// Concurrent requests to three controllers, delayed messages and lost or late responses of the store could make a
+// controller answer with an outdated status or let a job end in two ways. No answer may be older than one that was
+// received before its request, and a single compare-and-swap decides the final stage of a job. Each row lists the
+// results that its script must have over the seeds.
+func TestAnswersAreNeverStale(t *testing.T) {
 	for _, c := range answerScripts {
 		t.Run(c.name, func(t *testing.T) {
 			seen := map[string]int{}
@@ -343,7 +346,7 @@
 				synctest.Test(t, func(t *testing.T) {
 					m := newConcurrentUsers(t, seed)
 					seen[c.script(m)]++
-					time.Sleep(10 * time.Second) // late commits are done
+					time.Sleep(10 * time.Second) // late commits have been executed
 					if err := m.check(); err != nil {
 						t.Errorf("seed %d: %.600v", seed, err)
 					}
@@ -352,20 +355,20 @@
 					break
 				}
 			}
-			for _, what := range c.seen {
-				if seen[what] == 0 {
-					t.Errorf("%q never came about: %v", what, seen)
+			for _, result := range c.want {
+				if seen[result] == 0 {
+					t.Errorf("result %q never occurred: %v", result, seen)
 				}
-				delete(seen, what)
+				delete(seen, result)
 			}
 			if len(seen) > 0 && !t.Failed() {
-				t.Errorf("came about as well: %v", seen)
+				t.Errorf("unexpected results: %v", seen)
 			}
 		})
 	}
 }
 
-// unavailableAfterCommit commits transactions, loses their responses, and refuses everything from then on.
+// unavailableAfterCommit commits the first transaction, drops its response and refuses every later request.
 type unavailableAfterCommit struct{ *fakeStore }
 
 func (s unavailableAfterCommit) Commit(ctx context.Context, t store.Txn) (store.TxnResult, error) {
@@ -376,19 +379,19 @@
 	return store.TxnResult{}, store.ErrUnknown
 }
 
-// A response is lost and the store can't be read after it: all answers are 503 until a read has shown the
-// outcome, and then tell what was stored.
-func TestNoAnswerWhileOutcomeUnknown(t *testing.T) {
+// If the response to a transaction is lost and the store can't be read afterwards, the outcome is unknown: all
+// answers are 503 until a read shows the outcome, and then report the stored stage.
+func TestUnavailableWhileOutcomeUnknown(t *testing.T) {
 	ctx := context.Background()
 	for _, c := range []struct {
 		name    string
 		prepare func(server *Server)
 		do      func(server *Server) httpwire.Answer
-		settled string
+		want    string
 	}{
 		{"submission", func(*Server) {}, func(server *Server) httpwire.Answer { return server.Submit(ctx, submissionBody()) }, "200 queued"},
 		{"cancellation", func(server *Server) { server.Submit(ctx, submissionBody()) }, func(server *Server) httpwire.Answer { return server.Cancel(ctx, "req-1") }, "200 aborted"},
-		{"submission of a job that awaits a cancelled one", func(server *Server) {
+		{"submission of a job with a cancelled dependency", func(server *Server) {
 			server.Submit(ctx, submissionBody(`"req-1"`, `"req-0"`))
 			server.Cancel(ctx, "req-0")
 		}, func(server *Server) httpwire.Answer { return server.Submit(ctx, submissionNeeding("req-1", "req-0")) }, "200 aborted"},
@@ -398,26 +401,26 @@
 			c.prepare(server)
 			server.store = unavailableAfterCommit{fake}
 			if got := statusAndStage(t, c.do(server)); got != "503 " || !fake.refuse {
-				t.Errorf("in doubt: %s", got)
+				t.Errorf("outcome unknown: got %s, want 503 after a commit", got)
 			}
 			for _, a := range []httpwire.Answer{server.Status(ctx, "req-1"), server.Submit(ctx, submissionBody()), server.Cancel(ctx, "req-1")} {
 				if got := statusAndStage(t, a); got != "503 " {
-					t.Errorf("in doubt, asked again: %s", got)
+					t.Errorf("outcome unknown, later request: got %s, want 503", got)
 				}
 			}
 			fake.refuse, server.store = false, fake
 			for _, a := range []httpwire.Answer{server.Status(ctx, "req-1"), server.Submit(ctx, submissionBody())} {
-				if got := statusAndStage(t, a); got != c.settled {
-					t.Errorf("settled: %s", got)
+				if got := statusAndStage(t, a); got != c.want {
+					t.Errorf("outcome known: got %s", got)
 				}
 			}
 		})
 	}
 }
 
-// A controller's live counts of a job's tasks are for display: the stage is what is stored, and the
-// counts of a job in a final stage are those that were stored with it.
-func TestCountsAreForDisplay(t *testing.T) {
+// A controller's live counts of a job's tasks may be ahead of or behind the store. They don't affect the stage,
+// which is read from the store, nor the counts of a job in a final stage, which are stored with it.
+func TestLiveCountsDoNotChangeStage(t *testing.T) {
 	ctx := context.Background()
 	final := func(stage model.Stage, count int) func(fake *fakeStore) {
 		return func(fake *fakeStore) {
@@ -426,29 +429,29 @@
 		}
 	}
 	for _, c := range []struct {
-		name   string
-		change func(fake *fakeStore)
-		view   *placement.JobCounts
-		want   string
+		name       string
+		change     func(fake *fakeStore)
+		liveCounts *placement.JobCounts
+		want       string
 	}{
-		{"not known here", func(*fakeStore) {}, nil, `"queued","done":0,"running":0`},
+		{"no live counts", func(*fakeStore) {}, nil, `"queued","done":0,"running":0`},
 		{"running, not stored yet", func(*fakeStore) {}, &placement.JobCounts{Done: 1, Running: 2}, `"queued","done":1,"running":2`},
 		{"all done, not stored yet", func(*fakeStore) {}, &placement.JobCounts{Done: 3}, `"queued","done":3,"running":0`},
 		{"running elsewhere", func(fake *fakeStore) {
 			fake.change(store.Put("job/req-1", placement.JobRecord{Job: &model.Job{ID: "req-1", Shape: model.Array, Priority: model.Low, Tasks: 3, Image: "i"},
 				Started: true, Count: 1, Running: 2}))
 		}, nil, `"running","done":1,"running":2`},
-		{"done, remembered as running", final(model.Done, 3), &placement.JobCounts{Done: 1, Running: 2}, `"done","done":3,"running":0`},
-		{"cancelled, remembered as done", final(model.Cancelled, 2), &placement.JobCounts{Done: 3}, `"aborted","done":2,"running":0`},
+		{"done, live counts of a running job", final(model.Done, 3), &placement.JobCounts{Done: 1, Running: 2}, `"done","done":3,"running":0`},
+		{"cancelled, live counts of a done job", final(model.Cancelled, 2), &placement.JobCounts{Done: 3}, `"aborted","done":2,"running":0`},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			server, fake := setup(t)
 			server.Submit(ctx, submissionBody())
 			server.options.JobCounts = func(string) (placement.JobCounts, bool) {
-				if c.view == nil {
+				if c.liveCounts == nil {
 					return placement.JobCounts{}, false
 				}
-				return *c.view, true
+				return *c.liveCounts, true
 			}
 			c.change(fake)
 			want := `{"nameId":"req-1","stage":` + c.want + `}`
