--- a/internal/api/server_test.go
+++ b/internal/api/server_test.go
@@ -18,27 +18,27 @@
 	"github.com/marlwood/marlwood/internal/store"
 )
 
-// fakeStore keeps keys in memory and can fail in the ways that the real store does.
+// fakeStore keeps keys in memory and can fail in the same ways as the real store.
 type fakeStore struct {
 	keys          map[string]store.Item
 	revision      uint64
 	refuse        bool   // 503: nothing is executed
 	lostResponses int    // this many transactions are executed but not answered
-	lostRequests  int    // this many are neither executed nor answered
+	lostRequests  int    // this many transactions are neither executed nor answered
 	beforeCommit  func() // runs once before the next transaction
-	tooLarge      bool   // 400: above the limits
+	tooLarge      bool   // 400: every transaction exceeds the store's limits
 
 	mu         sync.Mutex
 	log        []store.Event
 	reads      int
-	writes     int // requested, including those whose preconditions fail
+	writes     int // requested writes, including those whose preconditions fail
 	refreshes  int
 	watchDelay time.Duration // how long a watch takes
 	listDelay  time.Duration // how long a listing takes
 	compacted  bool          // the next watch fails because its revision is too old
 }
 
-// change sets or deletes a key, as everybody sees it.
+// change sets or deletes a key in a revision of its own.
 func (f *fakeStore) change(w store.Write) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -170,7 +170,7 @@
 	return []byte(strings.NewReplacer(changes...).Replace(b))
 }
 
-// statusAndStage joins the status of an answer with the stage that it tells.
+// statusAndStage returns the status code and the stage of an answer, separated by a space.
 func statusAndStage(t *testing.T, a httpwire.Answer) string {
 	t.Helper()
 	var s statusBody
@@ -188,7 +188,7 @@
 	kept bool
 }
 
-// submitCases are submissions in each state of the job and of the store.
+// submitCases are submissions in different states of the job and of the store.
 var submitCases = []submitCase{
 	{"accepted", func(ctx context.Context, server *Server, _ *fakeStore) httpwire.Answer {
 		return server.Submit(ctx, submissionBody())
@@ -197,7 +197,7 @@
 		server.Submit(ctx, submissionBody())
 		return server.Submit(ctx, submissionBody())
 	}, "200 queued", true},
-	{"repeated with nonsense", func(ctx context.Context, server *Server, _ *fakeStore) httpwire.Answer {
+	{"repeated with an invalid body", func(ctx context.Context, server *Server, _ *fakeStore) httpwire.Answer {
 		server.Submit(ctx, submissionBody())
 		return server.Submit(ctx, []byte(`{"nameId":"req-1","pieces":"many"}`))
 	}, "200 queued", true},
@@ -206,16 +206,16 @@
 		server.Cancel(ctx, "req-1")
 		return server.Submit(ctx, submissionBody())
 	}, "200 aborted", false},
-	{"nonsense", func(ctx context.Context, server *Server, _ *fakeStore) httpwire.Answer {
+	{"invalid body", func(ctx context.Context, server *Server, _ *fakeStore) httpwire.Answer {
 		return server.Submit(ctx, []byte(`{"nameId":"req-1"}`))
 	}, "400 ", false},
 	{"unknown team", func(ctx context.Context, server *Server, _ *fakeStore) httpwire.Answer {
 		return server.Submit(ctx, submissionBody(`"t"`, `"u"`))
 	}, "422 ", false},
-	{"fits nowhere", func(ctx context.Context, server *Server, _ *fakeStore) httpwire.Answer {
+	{"fits no machine type", func(ctx context.Context, server *Server, _ *fakeStore) httpwire.Answer {
 		return server.Submit(ctx, submissionBody(`"cpus":2`, `"cpus":5`))
 	}, "422 ", false},
-	{"array over the limit as a whole", func(ctx context.Context, server *Server, _ *fakeStore) httpwire.Answer {
+	{"array over the limit in total", func(ctx context.Context, server *Server, _ *fakeStore) httpwire.Answer {
 		return server.Submit(ctx, submissionBody(`"pieces":3`, `"pieces":9`))
 	}, "201 queued", true},
 	{"gang over the limit", func(ctx context.Context, server *Server, _ *fakeStore) httpwire.Answer {
@@ -228,17 +228,17 @@
 		fake.refuse = true
 		return server.Submit(ctx, submissionBody())
 	}, "503 ", false},
-	// What is refused for good must not be a known job's repeat: without
-	// the state service nobody can tell.
-	{"nonsense in an outage", func(ctx context.Context, server *Server, fake *fakeStore) httpwire.Answer {
+	// A submission may be rejected for good only if it doesn't repeat a known job, which can't
+	// be checked while the store is unavailable.
+	{"invalid body during a store outage", func(ctx context.Context, server *Server, fake *fakeStore) httpwire.Answer {
 		fake.refuse = true
 		return server.Submit(ctx, []byte(`{"nameId":"req-1"}`))
 	}, "503 ", false},
-	{"answer lost", func(ctx context.Context, server *Server, fake *fakeStore) httpwire.Answer {
+	{"response to the commit is lost", func(ctx context.Context, server *Server, fake *fakeStore) httpwire.Answer {
 		fake.lostResponses = 1
 		return server.Submit(ctx, submissionBody())
 	}, "200 queued", true},
-	{"request lost", func(ctx context.Context, server *Server, fake *fakeStore) httpwire.Answer {
+	{"commit request is lost", func(ctx context.Context, server *Server, fake *fakeStore) httpwire.Answer {
 		fake.lostRequests = 1
 		return server.Submit(ctx, submissionBody())
 	}, "503 ", false},
@@ -257,17 +257,17 @@
 				t.Errorf("got %s", got)
 			}
 			if _, kept := fake.keys["job/req-1"]; kept != c.kept {
-				t.Errorf("kept: %v", kept)
+				t.Errorf("open record stored: %v", kept)
 			}
 			if (a.Status == http.StatusServiceUnavailable) != (a.RetryAfter > 0) {
-				t.Error("503 says when to come back, and nothing else does")
+				t.Error("Retry-After must be set for 503 and for no other status")
 			}
 		})
 	}
 	server, fake := setup(t)
 	server.options.Types = func() map[string]model.MachineType { return nil }
 	if a := server.Submit(ctx, submissionBody()); a.Status != http.StatusServiceUnavailable || len(fake.keys) != 0 {
-		t.Errorf("decided without machine types: %d", a.Status)
+		t.Errorf("submission while the machine types are unknown: status %d", a.Status)
 	}
 }
 
@@ -283,18 +283,18 @@
 		{"queued", func(*Server, *fakeStore) {}, "200 queued", "200 aborted"},
 		{"done", func(_ *Server, fake *fakeStore) { finishJob(fake) }, "200 done", "200 done"},
 		{"outage", func(_ *Server, fake *fakeStore) { fake.refuse = true }, "503 ", "503 "},
-		{"done, told before, outage", func(server *Server, fake *fakeStore) {
+		{"done and queried before a store outage", func(server *Server, fake *fakeStore) {
 			finishJob(fake)
 			server.Status(ctx, "req-1")
 			fake.refuse = true
 		}, "200 done", "200 done"},
 		{"done while being cancelled", func(_ *Server, fake *fakeStore) { fake.beforeCommit = func() { finishJob(fake) } }, "200 queued", "200 done"},
-		{"saved while being cancelled", func(_ *Server, fake *fakeStore) {
+		{"record written while being cancelled", func(_ *Server, fake *fakeStore) {
 			fake.beforeCommit = func() { fake.change(store.Write{Set: "job/req-1", Value: fake.keys["job/req-1"].Value}) }
 		}, "200 queued", "200 aborted"},
-		{"cancellation's answer lost", func(_ *Server, fake *fakeStore) { fake.lostResponses = 1 }, "200 queued", "200 aborted"},
-		{"cancellation lost", func(_ *Server, fake *fakeStore) { fake.lostRequests = 9 }, "200 queued", "503 "},
-		{"garbled record", func(_ *Server, fake *fakeStore) { put(fake, "job/req-1", "x") }, "503 ", "503 "},
+		{"response to the cancellation's commit is lost", func(_ *Server, fake *fakeStore) { fake.lostResponses = 1 }, "200 queued", "200 aborted"},
+		{"all commit requests of the cancellation are lost", func(_ *Server, fake *fakeStore) { fake.lostRequests = 9 }, "200 queued", "503 "},
+		{"malformed record", func(_ *Server, fake *fakeStore) { put(fake, "job/req-1", "x") }, "503 ", "503 "},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			server, fake := setup(t)
@@ -303,26 +303,27 @@
 			}
 			c.prepare(server, fake)
 			if got := statusAndStage(t, server.Status(ctx, "req-1")); got != c.ask {
-				t.Errorf("ask: %s", got)
+				t.Errorf("status query: got %s", got)
 			}
 			if got := statusAndStage(t, server.Cancel(ctx, "req-1")); got != c.cancel {
-				t.Errorf("cancel: %s", got)
+				t.Errorf("cancellation: got %s", got)
 			}
 		})
 	}
 }
 
-// finishJob ends the job as the leader does.
+// finishJob replaces the job's open record with a final one, as the leader does.
 func finishJob(fake *fakeStore) {
 	fake.change(store.Delete("job/req-1"))
 	fake.change(store.Put("done/req-1", placement.FinalJobRecord{Stage: model.Done, Tasks: 3, Count: 3}))
 }
 
-// However many queries there are, they share refreshes, and no answer is older than its
-// query. Times are virtual: the load of the test machine has no influence.
-func TestManyQuestions(t *testing.T) { synctest.Test(t, manyQuestions) }
+// If each query read the store, the load on it would grow with the number of users. Concurrent queries
+// share refreshes, and no answer is older than its query. The clock is virtual, so the load of the test
+// machine has no influence.
+func TestQueriesShareRefreshes(t *testing.T) { synctest.Test(t, queriesShareRefreshes) }
 
-func manyQuestions(t *testing.T) {
+func queriesShareRefreshes(t *testing.T) {
 	ctx := context.Background()
 	server, fake := setup(t)
 	server.statuses.options.RefreshInterval = 20 * time.Millisecond
@@ -339,24 +340,24 @@
 	}
 	wg.Wait()
 	if fake.refreshes > 10 || fake.reads > 0 {
-		t.Errorf("200 questions cost %d looks and %d reads", fake.refreshes, fake.reads)
+		t.Errorf("200 queries cost %d refreshes and %d reads, want at most 10 and none", fake.refreshes, fake.reads)
 	}
 	for _, c := range []struct {
 		name   string
 		change func()
 		want   string
 	}{
-		{"started elsewhere", func() {
+		{"started by the leader", func() {
 			fake.change(store.Put("job/req-1", map[string]any{"started": true, "count": 1, "running": 2}))
 		}, "200 running"},
-		{"the changes are too old to be had", func() { fake.compacted = true; finishJob(fake) }, "200 done"},
+		{"revision compacted", func() { fake.compacted = true; finishJob(fake) }, "200 done"},
 	} {
 		c.change()
 		if got := statusAndStage(t, server.Status(ctx, "req-1")); got != c.want {
 			t.Errorf("%s: %s", c.name, got)
 		}
 	}
-	// While looks fail, a question is answered at once, also if the next look hangs.
+	// While refreshes fail, a query is answered within a tenth of its timeout, also if the next refresh hangs.
 	fake.refuse = true
 	server.Status(ctx, "other")
 	for _, slow := range []time.Duration{0, server.options.QueryTimeout} {
@@ -364,21 +365,21 @@
 		fake.watchDelay = slow
 		begun := time.Now()
 		if a := server.Status(ctx, "other"); a.Status != http.StatusServiceUnavailable || time.Since(begun) > server.options.QueryTimeout/10 {
-			t.Errorf("in an outage: %d after %v", a.Status, time.Since(begun))
+			t.Errorf("query during a store outage: status %d after %v", a.Status, time.Since(begun))
 		}
 	}
-	time.Sleep(2 * server.options.QueryTimeout) // nobody asks any more, and looks end
+	time.Sleep(2 * server.options.QueryTimeout) // without queries the refresh loop ends
 }
 
-// The allocations of a query are bounded, whether its answer may still change or not: users poll every
-// second, and garbage collection takes from the same share of a core.
-func TestAllocationsOfAQuery(t *testing.T) {
+// The allocations of a status query are bounded, for open jobs and for those in a final stage: users poll
+// every second, and garbage collection uses the same share of a core.
+func TestStatusQueryAllocations(t *testing.T) {
 	ctx := context.Background()
 	for _, c := range []struct {
 		name string
 		end  bool
 		most float64
-	}{{"open, from memory after a look", false, 50}, {"over", true, 12}} {
+	}{{"open, from the cache after a refresh", false, 50}, {"in a final stage", true, 12}} {
 		server, fake := setup(t)
 		server.Submit(ctx, submissionBody())
 		if c.end {
@@ -392,7 +393,7 @@
 		})
 		t.Logf("%s: %g allocations", c.name, allocs)
 		if allocs > c.most {
-			t.Errorf("%s: a question takes %g allocations", c.name, allocs)
+			t.Errorf("%s: a query takes %g allocations", c.name, allocs)
 		}
 	}
 }
@@ -415,9 +416,10 @@
 	}
 }
 
-// A repeated submission of a job in this controller's caches is answered without a write, from what
-// is stored now; one of a job that they lack by a write that fails.
-func TestRepeatsWriteNothing(t *testing.T) {
+// Writes whose preconditions fail count against the store's budget. The repeat of a job in this controller's
+// caches is answered from the store without a write; the repeat of any other job requests one write, whose
+// preconditions fail.
+func TestRepeatOfCachedJobWritesNothing(t *testing.T) {
 	ctx := context.Background()
 	for _, c := range []struct {
 		name   string
@@ -425,14 +427,14 @@
 		want   string
 		writes int
 	}{
-		{"open, asked about", func(server *Server, _ *fakeStore) { server.Status(ctx, "req-1") }, "200 queued", 0},
+		{"open, queried here", func(server *Server, _ *fakeStore) { server.Status(ctx, "req-1") }, "200 queued", 0},
 		{"cancelled here", func(server *Server, _ *fakeStore) { server.Cancel(ctx, "req-1") }, "200 aborted", 0},
-		{"asked about, then cancelled elsewhere", func(server *Server, fake *fakeStore) {
+		{"queried here, then cancelled elsewhere", func(server *Server, fake *fakeStore) {
 			server.Status(ctx, "req-1")
 			fake.change(store.Delete(placement.JobPrefix + "req-1"))
 			fake.change(store.Put(placement.DonePrefix+"req-1", placement.FinalJobRecord{Stage: model.Cancelled, Tasks: 3}))
 		}, "200 aborted", 0},
-		{"never heard of here", func(*Server, *fakeStore) {}, "200 queued", 1},
+		{"in no cache", func(*Server, *fakeStore) {}, "200 queued", 1},
 	} {
 		server, fake := setup(t)
 		server.Submit(ctx, submissionBody())
@@ -444,9 +446,10 @@
 	}
 }
 
-// A listing that takes longer than a query waits is continued: queries meanwhile get 503, at first
-// after the whole timeout and then at once, and those after it are answered.
-func TestLongListing(t *testing.T) {
+// A listing that takes longer than the timeout of a query must continue, or it would never be completed. Queries
+// during the listing get 503, the first one after the whole timeout and the later ones after a fraction of it.
+// Queries after the listing are answered.
+func TestListingOutlastsQueries(t *testing.T) {
 	ctx := context.Background()
 	server, fake := setup(t)
 	server.statuses.options.QueryTimeout, server.statuses.options.Now = 100*time.Millisecond, time.Now
@@ -457,18 +460,18 @@
 		return server.Status(ctx, "req-1").Status, time.Since(sent)
 	}
 	if status, took := ask(); status != http.StatusServiceUnavailable || took > 400*time.Millisecond {
-		t.Errorf("the first question is answered %d after %v", status, took)
+		t.Errorf("first query during the listing: status %d after %v", status, took)
 	}
 	if status, took := ask(); status != http.StatusServiceUnavailable || took > 60*time.Millisecond {
-		t.Errorf("while the listing takes long a question is answered %d after %v", status, took)
+		t.Errorf("later query during the listing: status %d after %v", status, took)
 	}
 	deadline := time.Now().Add(5 * time.Second)
 	for status := 0; status != http.StatusOK; status, _ = ask() {
 		if time.Now().After(deadline) {
-			t.Fatal("the listing is never whole")
+			t.Fatal("the listing was not completed within 5 s")
 		}
 	}
-	if fake.refreshes < 2 || fake.refreshes > 4 { // the listing, and looks at the changes since
-		t.Errorf("%d looks", fake.refreshes)
+	if fake.refreshes < 2 || fake.refreshes > 4 { // the listing and reads of the changes since
+		t.Errorf("%d refreshes, want 2 to 4", fake.refreshes)
 	}
 }
--- a/internal/api/submit_test.go
+++ b/internal/api/submit_test.go
@@ -14,7 +14,7 @@
 	"github.com/marlwood/marlwood/internal/store"
 )
 
-// validFields are those of a job that can run, each as its JSON text.
+// validFields are the fields of a job that can run, each with its value in JSON.
 var validFields = map[string]string{
 	"nameId": `"req-000412"`, "docket": `"train"`, "crew": `"vision"`, "shape": `"batch"`, "rank": `"high"`, "pieces": `2`,
 	"cpus": `4.0`, "cards": `1.0`, "memoryGb": `32.0`, "kit": `"img-07"`, "sizeGb": `6.2`, "hulls": `["big"]`, "yard": `"a"`,
@@ -22,7 +22,7 @@
 	"dueS": `900.0`, "awaits": `[]`,
 }
 
-// submission writes the fields with some changed; an empty text leaves a field out.
+// submission returns a submission with validFields and some changes; an empty value omits the field.
 func submission(changes map[string]string) []byte {
 	all := maps.Clone(validFields)
 	maps.Copy(all, changes)
@@ -35,7 +35,7 @@
 	return []byte("{" + strings.Join(parts, ",") + "}")
 }
 
-// setupZones is a deployment of three zones; the third has one machine type alone.
+// setupZones returns a server for a deployment of three zones; zone c offers only machine type island.
 func setupZones(t *testing.T) (*Server, *fakeStore) {
 	t.Helper()
 	server, fake := setup(t)
@@ -62,7 +62,7 @@
 	nullableField
 )
 
-// badValues are by kind: a value's name and its JSON text.
+// badValues are the invalid values of each kind of field: a name and the value in JSON.
 var badValues = map[int]map[string]string{
 	textField: {"a number": `7`, "empty": `""`, "a list": `["x"]`, "an object": `{}`, "true": `true`},
 	countField: {"a text": `"2"`, "negative": `-1`, "zero": `0`, "too many": `100001`, "a part": `1.5`, "beyond 64 bits": `18446744073709551616`,
@@ -73,7 +73,7 @@
 	namesField: {"a text": `"big"`, "a number": `1`, "an object": `{}`, "numbers in it": `["big",1]`, "null in it": `["big",null]`, "lists in it": `[["big"]]`},
 }
 
-// fieldKinds is the kind of each field.
+// fieldKinds maps each field to its kind.
 var fieldKinds = map[string]int{
 	"nameId": textField, "docket": textField, "crew": textField, "shape": textField, "rank": textField, "pieces": countField, "cpus": amountField, "cards": amountField,
 	"memoryGb": amountField, "kit": textField, "sizeGb": amountField, "hulls": namesField | nullableField, "yard": textField | nullableField, "together": truthField,
@@ -81,17 +81,17 @@
 	"dueS": amountField | nullableField, "awaits": namesField | nullableField,
 }
 
-// oddValues are bad values that only one field has.
-var oddValues = map[string]map[string]string{
+// fieldBadValues are further invalid values of single fields.
+var fieldBadValues = map[string]map[string]string{
 	"nameId": {"a space": `"req 1"`, "a slash": `"req/1"`, "too long": `"` + strings.Repeat("r", 101) + `"`, "a step up": `".."`,
 		"a step": `"."`, "not ASCII": `"réq"`, "a line": `"req\n1"`},
 	"shape": {"unknown": `"swarm"`, "other case": `"Batch"`},
 	"rank":  {"unknown": `"higher"`, "other case": `"HIGH"`, "a space": `"high "`},
 }
 
-// Every field of a submission, with every kind of bad value: the answer is 400 and names the field and
-// the remedy, and nothing is stored.
-func TestEveryField(t *testing.T) {
+// A submission with any kind of invalid value in any field is answered with 400, the field's name and the
+// remedy, and nothing is stored. A nullable field may be missing or null.
+func TestInvalidFieldValues(t *testing.T) {
 	ctx := context.Background()
 	if len(fieldKinds) != len(validFields) {
 		t.Fatalf("%d of %d fields have a kind", len(fieldKinds), len(validFields))
@@ -99,7 +99,7 @@
 	for _, name := range slices.Sorted(maps.Keys(validFields)) {
 		kind := fieldKinds[name]
 		values := maps.Clone(badValues[kind&^nullableField])
-		maps.Copy(values, oddValues[name])
+		maps.Copy(values, fieldBadValues[name])
 		good := map[string]string{}
 		if empty := map[string]string{"missing": "", "null": "null"}; kind&nullableField == 0 {
 			maps.Copy(values, empty)
@@ -115,7 +115,7 @@
 				}
 				wrong, remedy, _ := strings.Cut(string(a.Body), "; ")
 				if !strings.Contains(wrong, "field "+name+": ") || !strings.Contains(remedy, "give ") {
-					t.Errorf("does not name the field and the remedy: %s", a.Body)
+					t.Errorf("answer lacks the field or the remedy: %s", a.Body)
 				}
 				if len(fake.keys) > 0 || len(a.Body) > 300 {
 					t.Errorf("%d keys stored, an answer of %d bytes", len(fake.keys), len(a.Body))
@@ -133,7 +133,7 @@
 	}
 }
 
-// A body that is no job at all is answered with 400 and the reason.
+// A body that doesn't describe a job is answered with 400 and the reason; unknown fields are ignored.
 func TestMalformedBodies(t *testing.T) {
 	whole := string(submission(nil))
 	pad := func(n int) string {
@@ -145,20 +145,20 @@
 		says       string
 	}{
 		{"whole", whole, http.StatusCreated, ""},
-		{"fields not known, of other case too", strings.TrimSuffix(whole, "}") + `,"later":[1],"CPUS":"x","Shape":null}`, http.StatusCreated, ""},
-		{"space around", " \n" + whole + "\r\n", http.StatusCreated, ""},
+		{"unknown fields and fields in other case", strings.TrimSuffix(whole, "}") + `,"later":[1],"CPUS":"x","Shape":null}`, http.StatusCreated, ""},
+		{"surrounding white space", " \n" + whole + "\r\n", http.StatusCreated, ""},
 		{"a field twice, the last counts", `{"cpus":"x",` + whole[1:], http.StatusCreated, ""},
 		{"a field twice, the last is bad", strings.TrimSuffix(whole, "}") + `,"cpus":"x"}`, http.StatusBadRequest, "field cpus"},
 		{"a field twice, the last is null", strings.TrimSuffix(whole, "}") + `,"cpus":null}`, http.StatusBadRequest, "field cpus: missing"},
-		{"a field of other case alone", strings.Replace(whole, `"cpus"`, `"CPUs"`, 1), http.StatusBadRequest, "field cpus: missing"},
+		{"a required field only in other case", strings.Replace(whole, `"cpus"`, `"CPUs"`, 1), http.StatusBadRequest, "field cpus: missing"},
 		{"64 KiB", pad(model.MaxBody - len(pad(0))), http.StatusCreated, ""},
 		{"over 64 KiB", pad(model.MaxBody - len(pad(0)) + 1), http.StatusBadRequest, "body: 65537 bytes"},
 		{"empty", "", http.StatusBadRequest, "not a JSON object"},
 		{"a list", "[" + whole + "]", http.StatusBadRequest, "not a JSON object"},
 		{"null", "null", http.StatusBadRequest, "not a JSON object"},
-		{"a text", `"x"`, http.StatusBadRequest, "not a JSON object"},
-		{"cut short", whole[:len(whole)-1], http.StatusBadRequest, "not JSON"},
-		{"more after it", whole + whole, http.StatusBadRequest, "not JSON"},
+		{"a string", `"x"`, http.StatusBadRequest, "not a JSON object"},
+		{"truncated body", whole[:len(whole)-1], http.StatusBadRequest, "not JSON"},
+		{"trailing data", whole + whole, http.StatusBadRequest, "not JSON"},
 		{"NaN", strings.Replace(whole, "4.0", "NaN", 1), http.StatusBadRequest, "not JSON"},
 		{"Infinity", strings.Replace(whole, "4.0", "-Infinity", 1), http.StatusBadRequest, "not JSON"},
 		{"not UTF-8", strings.Replace(whole, "img-07", "img-\xff", 1), http.StatusBadRequest, "not UTF-8"},
@@ -176,7 +176,7 @@
 	}
 }
 
-// set makes a map of names and the values that follow them.
+// set returns a map from alternating names and values.
 func set(namesAndValues ...string) map[string]string {
 	changes := map[string]string{}
 	for i := 0; i < len(namesAndValues); i += 2 {
@@ -185,33 +185,33 @@
 	return changes
 }
 
-// validationCase is one row of TestWhatCanRun.
+// validationCase is one row of TestSubmissionValidation.
 type validationCase struct {
 	name    string
 	changes map[string]string
 	status  int
-	says    string // the fields that a refusal names
+	says    string // part of the answer: the fields or the team that a rejection names
 }
 
-// validationCases are submissions that can run in the deployment of setupZones, and that never can.
+// validationCases are jobs that can run in the deployment of setupZones and jobs that never can.
 var validationCases = []validationCase{
-	{"as it is", nil, http.StatusCreated, ""},
+	{"valid job", nil, http.StatusCreated, ""},
 	{"unknown team", set("crew", `"nobody"`), http.StatusUnprocessableEntity, "field crew"},
-	{"a class without an aim", set("docket", `"odd"`), http.StatusCreated, ""},
+	{"a class without an objective", set("docket", `"odd"`), http.StatusCreated, ""},
 
 	{"the whole of a machine", set("cpus", `64`, "memoryGb", `768`, "cards", `8`), http.StatusCreated, ""},
 	{"more CPUs than any machine", set("crew", `"free"`, "cpus", `96.5`), http.StatusUnprocessableEntity, "cpus"},
 	{"more cards than any machine", set("crew", `"free"`, "cards", `17`), http.StatusUnprocessableEntity, "cards"},
 	{"more memory than any machine", set("memoryGb", `768.5`), http.StatusUnprocessableEntity, "memoryGb"},
-	{"each amount on some machine, all on none", set("hulls", `["small","island"]`, "yard", `null`, "cards", `0`, "cpus", `8`, "memoryGb", `64.5`), http.StatusUnprocessableEntity, "hulls"},
+	{"each amount fits some machine type, all together fit none", set("hulls", `["small","island"]`, "yard", `null`, "cards", `0`, "cpus", `8`, "memoryGb", `64.5`), http.StatusUnprocessableEntity, "hulls"},
 	{"an unknown type", set("hulls", `["huge"]`), http.StatusUnprocessableEntity, "hulls"},
 	{"no type", set("hulls", `[]`), http.StatusUnprocessableEntity, "hulls"},
-	{"an unknown type beside one that fits", set("hulls", `["huge","big","big"]`), http.StatusCreated, ""},
-	{"a type that is too small beside one that fits", set("hulls", `["small","big"]`), http.StatusCreated, ""},
+	{"an unknown type and one that fits", set("hulls", `["huge","big","big"]`), http.StatusCreated, ""},
+	{"a type that is too small and one that fits", set("hulls", `["small","big"]`), http.StatusCreated, ""},
 	{"an unknown zone", set("yard", `"z"`), http.StatusUnprocessableEntity, "yard"},
 	{"no type fits in the only zone", set("yard", `"c"`, "hulls", `null`), http.StatusUnprocessableEntity, "yard"},
 	{"the type is not offered in the only zone", set("yard", `"c"`), http.StatusUnprocessableEntity, "yard"},
-	{"the only zone has it", set("yard", `"c"`, "hulls", `["island"]`, "cards", `0`), http.StatusCreated, ""},
+	{"the type is offered in the only zone", set("yard", `"c"`, "hulls", `["island"]`, "cards", `0`), http.StatusCreated, ""},
 	{"not on spot machines", set("loaners", `false`), http.StatusCreated, ""},
 
 	{"an array beyond the limit, a task within it", set("pieces", `100000`, "cpus", `64`), http.StatusCreated, ""},
@@ -240,14 +240,14 @@
 	{"a gang apart, a zone for each type", set("shape", `"gang"`, "together", `false`, "apart", `true`, "yard", `null`,
 		"hulls", `["small","island"]`, "cards", `0`, "memoryGb", `16`), http.StatusCreated, ""},
 
-	{"nothing is asked of the machine", set("cpus", `0`, "cards", `0`, "memoryGb", `0`, "sizeGb", `0`), http.StatusCreated, ""},
+	{"no resources requested", set("cpus", `0`, "cards", `0`, "memoryGb", `0`, "sizeGb", `0`), http.StatusCreated, ""},
 	{"no estimate, no saves, due at once", set("guessS", `0`, "snapshotEveryS", `0`, "snapshotCostS", `0`, "dueS", `0`), http.StatusCreated, ""},
-	{"an image beyond a cache", set("sizeGb", `1e9`), http.StatusCreated, ""},
-	{"as much as a field takes", set("guessS", `1e9`, "snapshotEveryS", `1e9`, "snapshotCostS", `1e9`, "dueS", `1e9`), http.StatusCreated, ""},
+	{"an image larger than a cache", set("sizeGb", `1e9`), http.StatusCreated, ""},
+	{"maximum value of each duration", set("guessS", `1e9`, "snapshotEveryS", `1e9`, "snapshotCostS", `1e9`, "dueS", `1e9`), http.StatusCreated, ""},
 }
 
-// No job that can never run is accepted, and none that can run is rejected.
-func TestWhatCanRun(t *testing.T) {
+// Jobs that can never run in the deployment are rejected with the fields at fault; jobs that can run are accepted.
+func TestSubmissionValidation(t *testing.T) {
 	for _, c := range validationCases {
 		t.Run(c.name, func(t *testing.T) {
 			server, fake := setupZones(t)
@@ -262,50 +262,50 @@
 	}
 }
 
-// wholeSubmission is the submission of a job that can run.
+// wholeSubmission is a complete submission of a job that can run.
 var wholeSubmission = string(submission(nil))
 
-// repeatCase is one row of TestRepeatOfAKnownJob.
+// repeatCase is one row of TestRepeatOfKnownJob.
 type repeatCase struct {
 	name    string
 	body    string
 	change  func(server *Server, fake *fakeStore)
-	unknown int // status of the answer for an unknown job
+	unknown int // status of the answer if the job is unknown
 }
 
-// repeatCases are changes that keep a new submission from being accepted.
+// repeatCases are submissions and changes; most keep a new submission from being accepted.
 var repeatCases = []repeatCase{
-	{"types not known", wholeSubmission, func(server *Server, _ *fakeStore) {
+	{"machine types unknown", wholeSubmission, func(server *Server, _ *fakeStore) {
 		server.options.Types = func() map[string]model.MachineType { return nil }
 	}, http.StatusServiceUnavailable},
-	{"no type is offered any more", wholeSubmission, func(server *Server, _ *fakeStore) {
+	{"no machine type is offered any more", wholeSubmission, func(server *Server, _ *fakeStore) {
 		server.options.Types = func() map[string]model.MachineType { return map[string]model.MachineType{} }
 	}, http.StatusServiceUnavailable},
-	{"its type is gone", wholeSubmission, func(server *Server, _ *fakeStore) {
+	{"its machine type is no longer offered", wholeSubmission, func(server *Server, _ *fakeStore) {
 		server.options.Types = func() map[string]model.MachineType { return types }
 	}, http.StatusUnprocessableEntity},
-	{"its team is gone", wholeSubmission, func(server *Server, _ *fakeStore) { server.options.Teams = map[string]model.Team{} }, http.StatusUnprocessableEntity},
-	{"its team's limit fell", wholeSubmission, func(server *Server, _ *fakeStore) {
+	{"its team was removed", wholeSubmission, func(server *Server, _ *fakeStore) { server.options.Teams = map[string]model.Team{} }, http.StatusUnprocessableEntity},
+	{"its team's limit was lowered", wholeSubmission, func(server *Server, _ *fakeStore) {
 		server.options.Teams = map[string]model.Team{"vision": {Limit: model.Size{CPUs: 1}}}
 	}, http.StatusUnprocessableEntity},
 	{"the body differs", string(submission(map[string]string{"pieces": "7", "crew": `"free"`})), nil, http.StatusCreated},
-	{"it awaits one that nobody submitted", string(submission(map[string]string{"awaits": `["req-9"]`})), nil, http.StatusUnprocessableEntity},
-	{"it awaits one whose record can't be read", string(submission(map[string]string{"awaits": `["req-8"]`})), func(_ *Server, fake *fakeStore) {
+	{"its dependency was never submitted", string(submission(map[string]string{"awaits": `["req-9"]`})), nil, http.StatusUnprocessableEntity},
+	{"its dependency's record can't be parsed", string(submission(map[string]string{"awaits": `["req-8"]`})), func(_ *Server, fake *fakeStore) {
 		fake.change(store.Put("job/req-8", "x"))
 	}, http.StatusServiceUnavailable},
-	{"it is too long", string(submission(map[string]string{"kit": `"` + strings.Repeat("k", 4000) + `"`})), nil, http.StatusBadRequest},
-	{"too large for the state service", wholeSubmission, func(_ *Server, fake *fakeStore) { fake.tooLarge = true }, http.StatusBadRequest},
+	{"its record is too large", string(submission(map[string]string{"kit": `"` + strings.Repeat("k", 4000) + `"`})), nil, http.StatusBadRequest},
+	{"too large for the store", wholeSubmission, func(_ *Server, fake *fakeStore) { fake.tooLarge = true }, http.StatusBadRequest},
 	{"a field is missing", string(submission(map[string]string{"cpus": ""})), nil, http.StatusBadRequest},
 	{"a field is bad", string(submission(map[string]string{"cpus": `"x"`})), nil, http.StatusBadRequest},
 	{"over 64 KiB", string(submission(map[string]string{"later": `"` + strings.Repeat("x", model.MaxBody) + `"`})), nil, http.StatusBadRequest},
-	{"cut short after the id", `{"nameId":"req-000412","cpus":4.`, nil, http.StatusBadRequest},
-	{"not JSON after the id", `{"nameId":"req-000412","cpus":NaN}`, nil, http.StatusBadRequest},
+	{"truncated after the id", `{"nameId":"req-000412","cpus":4.`, nil, http.StatusBadRequest},
+	{"invalid JSON after the id", `{"nameId":"req-000412","cpus":NaN}`, nil, http.StatusBadRequest},
 	{"not UTF-8", strings.Replace(wholeSubmission, "img-07", "\xff", 1), nil, http.StatusBadRequest},
 }
 
-// A repeat of a known job is answered with 200 and its status, whatever would keep a new submission from
-// being accepted, also in a final stage; the same submission of an unknown job isn't accepted.
-func TestRepeatOfAKnownJob(t *testing.T) {
+// The repeat of a known job, also of one in a final stage, is answered with 200 and the job's status even if a new
+// submission would not be accepted. The same submission of an unknown job gets the status of its row.
+func TestRepeatOfKnownJob(t *testing.T) {
 	ctx := context.Background()
 	for _, c := range repeatCases {
 		for _, known := range []string{"queued", "aborted", "done"} {
@@ -324,7 +324,7 @@
 				if c.change != nil {
 					c.change(server, fake)
 				}
-				fresh, err := New(server.options, fake) // another node, that has seen nothing of it
+				fresh, err := New(server.options, fake) // another controller, whose caches are empty
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -341,11 +341,11 @@
 				c.change(server, fake)
 			}
 			if a := server.Submit(ctx, []byte(c.body)); a.Status != c.unknown || (a.Status == http.StatusServiceUnavailable) != (a.RetryAfter > 0) {
-				t.Errorf("status %d, come back after %d: %s", a.Status, a.RetryAfter, a.Body)
+				t.Errorf("status %d, Retry-After %d: %s", a.Status, a.RetryAfter, a.Body)
 			}
 		})
 	}
-	// Without an id nothing can be a repeat.
+	// A submission without a readable id is never treated as a repeat.
 	for _, b := range []string{`{"cpus":NaN,"nameId":"req-000412"}`, `{"nameId":412}`, `{"nameId":"req-000412","nameId":null}`, `["nameId","req-000412"]`} {
 		server, _ := setupZones(t)
 		server.Submit(ctx, submission(nil))
--- a/internal/httpwire/message_test.go
+++ b/internal/httpwire/message_test.go
@@ -82,7 +82,7 @@
 		{name: "interim", in: "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx", status: 200, body: "x"},
 		{name: "body until the connection is closed", in: "HTTP/1.1 200 OK\r\n\r\nabc", ended: true, status: 200, body: "abc", close: true},
 		{name: "connection not closed yet", in: "HTTP/1.1 200 OK\r\n\r\nabc", err: ErrIncomplete},
-		{name: "nonsense", in: "hello there\r\n\r\n", err: ErrMalformed},
+		{name: "not HTTP", in: "hello there\r\n\r\n", err: ErrMalformed},
 		{name: "status out of range", in: "HTTP/1.1 999 X\r\n\r\n", err: ErrMalformed},
 	} {
 		t.Run(c.name, func(t *testing.T) {
