--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -1,12 +1,12 @@
-// Package autoscaler launches machines for demand that finds no free capacity, and
-// terminates idle, lost and faulty ones.
+// Package autoscaler launches machines for demand that exceeds the free capacity, and
+// terminates idle, lost and faulty machines.
 //
-// An Autoscaler is pure: demand, machines and the time go in, actions for the cloud and
-// the key-value store come out, and the caller reports their outcomes. It is part of the
-// scheduler's state: the same calls lead to the same actions.
+// An Autoscaler does no input or output: its inputs are demand, machines and the time, its
+// outputs are actions for the cloud and the key-value store, and the caller reports their
+// outcomes. It is deterministic: the same calls lead to the same actions.
 //
-// A launch request is idempotent. Its record is stored before it is sent, and it is sent
-// again under the same name, by the next leader too, until the cloud has answered it.
+// A launch request is idempotent. Its record is stored before it is sent. The request is
+// retried under the same name, also by the next leader, until the cloud has answered it.
 package autoscaler
 
 import (
@@ -16,46 +16,46 @@
 	"github.com/marlwood/marlwood/internal/placement"
 )
 
-// Options bound when machines are launched and terminated. They are stored in
-// recordings under the names of their fields.
+// Options control when machines are launched and terminated. They are stored in
+// recordings under the Go names of their fields.
 type Options struct {
-	Idle        time.Duration // a machine is terminated after it was idle for longer
-	Keep        time.Duration // least time that a machine is kept after its first heartbeat
+	Idle        time.Duration // a machine is terminated after it was idle for longer than this
+	Keep        time.Duration // minimum time that a machine is kept after its first heartbeat
 	RefusedWait time.Duration // pause after a refusal before the market is probed
-	BootFactor  float64       // a machine is given up after this many of its usual boot times
+	BootFactor  float64       // a machine is terminated if it has not booted after this many usual boot times
 	SilentWait  time.Duration // a machine is terminated this long after its lease first expired
 }
 
-// Market is a pool of machines on demand or as spot instances, each with a price and a
-// capacity of its own.
+// Market is a pool's on-demand machines or its spot instances. Each market has its own
+// price and capacity.
 type Market struct {
 	Pool model.Pool
 	Spot bool
 }
 
-// bootingMachine is a machine that was launched and has sent no heartbeat yet.
+// bootingMachine is a launched machine that has not sent a heartbeat yet.
 type bootingMachine struct {
 	market Market
 	since  time.Time
-	listed bool // in the cloud's list
+	listed bool // the cloud's list has shown it
 }
 
 // Autoscaler decides which machines are launched and terminated. It is not safe for
 // concurrent use.
 type Autoscaler struct {
 	options      Options
-	token        uint64 // fencing token of the term, part of the requests' names
+	token        uint64 // fencing token of the leader's term, part of the request names
 	requestCount int
 	requests     *model.Table[string, *LaunchRequest] // unresolved
 	booting      *model.Table[string, *bootingMachine]
 	capacity     capacityModel
-	terminating  map[string]bool      // the outcome of a termination is awaited
-	terminated   map[string]time.Time // since when: the list may still show them
+	terminating  map[string]bool      // termination sent, outcome not known yet
+	terminated   map[string]time.Time // time of termination; the cloud's list may still show them
 	thrash       thrashDetector
 }
 
-// New makes the autoscaler of a term, which names its launch requests after the
-// fencing token.
+// New returns an autoscaler for one leader's term. The names of its launch requests contain
+// the term's fencing token.
 func New(options Options, token uint64) *Autoscaler {
 	return &Autoscaler{
 		options:     options,
@@ -73,7 +73,7 @@
 	a.options, a.capacity.retryWait = options, options.RefusedWait
 }
 
-// Action is something for the caller to do; one of its fields is set.
+// Action is an operation for the caller to execute. Exactly one field is set.
 type Action struct {
 	Record    *LaunchRequest // store the request's record
 	Launch    *LaunchRequest // send the request
@@ -81,8 +81,8 @@
 }
 
 // Tick decides what to launch and what to terminate. Until the takeover is complete,
-// nothing is launched and only lost machines are terminated: demand and free capacity
-// are not known before.
+// nothing is launched and only lost machines are terminated, because demand and free
+// capacity are not known yet.
 func (a *Autoscaler) Tick(
 	now time.Time,
 	demands []placement.UnmetDemand,
@@ -101,5 +101,5 @@
 	return actions
 }
 
-// MachineUp reports a machine's heartbeat.
+// MachineUp records a machine's heartbeat: the machine is no longer booting.
 func (a *Autoscaler) MachineUp(name string) { a.booting.Delete(name) }
--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -31,7 +31,7 @@
 		Spot: spot, Estimate: estimate, Horizon: 55 * time.Second}
 }
 
-// launches returns the machines that a tick requests, by market.
+// launches runs a tick and returns the number of machines that it requests, by market.
 func launches(a *Autoscaler, s float64, demands ...placement.UnmetDemand) map[Market]int {
 	got := map[Market]int{}
 	for _, action := range a.Tick(at(s), demands, nil, machineTypes, true) {
@@ -42,6 +42,9 @@
 	return got
 }
 
+// Each row has one demand and the launch requests that a tick makes for it. The rows about
+// silent zones guard against machines that boot forever in a partitioned zone and prevent
+// launches in other zones.
 func TestScaleOut(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -50,43 +53,43 @@
 		want   map[Market]int
 	}{
 		{"no demand", nil, demandFor(0, false, 0), map[Market]int{}},
-		{"the cheaper per task", nil, demandFor(8, false, 0), map[Market]int{{large, false}: 1}},
-		{"counting only tasks that there are", nil, demandFor(1, false, 0), map[Market]int{{small, false}: 1}},
-		{"spot where allowed", nil, demandFor(2, true, 0), map[Market]int{{small, true}: 1}},
-		{"only spot instances for a demand that takes nothing else", func(a *Autoscaler) { a.capacity.refused[Market{small, true}] = refusal{at: at(0)} },
+		{"the market with the lowest price per task", nil, demandFor(8, false, 0), map[Market]int{{large, false}: 1}},
+		{"the price per task counts only existing tasks", nil, demandFor(1, false, 0), map[Market]int{{small, false}: 1}},
+		{"a spot instance where allowed", nil, demandFor(2, true, 0), map[Market]int{{small, true}: 1}},
+		{"only spot instances for a spot-only demand", func(a *Autoscaler) { a.capacity.refused[Market{small, true}] = refusal{at: at(0)} },
 			placement.UnmetDemand{Job: "x", Size: model.Size{CPUs: 2}, Tasks: 2, Pools: []model.Pool{small}, Spot: true, SpotOnly: true},
 			map[Market]int{}},
-		{"short tasks take turns", nil, demandFor(16, false, 15*time.Second), map[Market]int{{large, false}: 1}},
-		{"long ones do not", nil, demandFor(16, false, time.Minute), map[Market]int{{large, false}: 2}},
+		{"short tasks run one after another on a machine", nil, demandFor(16, false, 15*time.Second), map[Market]int{{large, false}: 1}},
+		{"long tasks run at the same time", nil, demandFor(16, false, time.Minute), map[Market]int{{large, false}: 2}},
 		{"a refused market is avoided", func(a *Autoscaler) { a.capacity.refused[Market{large, false}] = refusal{at: at(0)} }, demandFor(4, false, 0),
 			map[Market]int{{small, false}: 2}},
-		{"after a while it is probed", func(a *Autoscaler) { a.capacity.refused[Market{large, false}] = refusal{at: at(-20)} }, demandFor(24, false, 0),
+		{"a refused market is probed after RefusedWait", func(a *Autoscaler) { a.capacity.refused[Market{large, false}] = refusal{at: at(-20)} }, demandFor(24, false, 0),
 			map[Market]int{{large, false}: 1, {small, false}: 8}},
-		{"machines that were terminated are available again", func(a *Autoscaler) { a.capacity.refused[Market{large, false}] = refusal{at: at(0), held: 2} },
+		{"capacity of terminated machines is available again", func(a *Autoscaler) { a.capacity.refused[Market{large, false}] = refusal{at: at(0), held: 2} },
 			demandFor(24, false, 0),
 			map[Market]int{{large, false}: 2, {small, false}: 4}},
 		{"a silent zone is avoided", func(a *Autoscaler) { a.capacity.silentZones["a"] = at(0) }, demandFor(8, false, 0), map[Market]int{}},
-		{"until it is probed", func(a *Autoscaler) { a.capacity.silentZones["a"] = at(-20) }, demandFor(64, false, 0),
+		{"a silent zone is probed after RefusedWait", func(a *Autoscaler) { a.capacity.silentZones["a"] = at(-20) }, demandFor(64, false, 0),
 			map[Market]int{{large, false}: 1, {small, false}: 1}},
-		{"a few in a zone without a machine that was up", func(a *Autoscaler) { a.capacity.zonesSeenUp["b"] = true }, demandFor(64, false, 0),
+		{"a few machines in a zone without a machine that was up", func(a *Autoscaler) { a.capacity.zonesSeenUp["b"] = true }, demandFor(64, false, 0),
 			map[Market]int{{large, false}: 3, {small, false}: 3}},
-		{"no more while these boot", func(a *Autoscaler) {
+		{"no more machines while the few boot", func(a *Autoscaler) {
 			a.capacity.zonesSeenUp["b"] = true
 			for _, name := range []string{"m1", "m2", "m3"} {
 				a.booting.Put(name, &bootingMachine{market: Market{small, false}, since: at(0)})
 			}
 		}, demandFor(64, false, 0), map[Market]int{}},
-		{"a machine that boots in a silent zone does not count", func(a *Autoscaler) {
+		{"a booting machine in a silent zone does not count", func(a *Autoscaler) {
 			a.booting.Put("m", &bootingMachine{market: Market{model.Pool{Type: "large", Zone: "b"}, false}, since: at(0)})
 			a.capacity.silentZones["b"] = at(0)
 		}, placement.UnmetDemand{Job: "x", Size: model.Size{CPUs: 2}, Tasks: 8, Pools: []model.Pool{{Type: "large", Zone: "b"}, large}},
 			map[Market]int{{large, false}: 1}},
-		{"one zone for a job that must stay in one", nil,
+		{"one zone for a job that must run in one zone", nil,
 			placement.UnmetDemand{Job: "x", Size: model.Size{CPUs: 16}, Tasks: 60, AllAtOnce: true, OneZone: true,
 				Pools: []model.Pool{large, {Type: "large", Zone: "b"}}}, map[Market]int{{large, false}: 50}},
 		{"a booting machine counts", func(a *Autoscaler) { a.booting.Put("m", &bootingMachine{market: Market{large, false}, since: at(0)}) }, demandFor(8, false, 0),
 			map[Market]int{}},
-		{"a booting spot instance is of no use to demand for others", func(a *Autoscaler) { a.booting.Put("m", &bootingMachine{market: Market{large, true}, since: at(0)}) },
+		{"a booting spot instance does not count for a demand that excludes spot instances", func(a *Autoscaler) { a.booting.Put("m", &bootingMachine{market: Market{large, true}, since: at(0)}) },
 			demandFor(8, false, 0), map[Market]int{{large, false}: 1}},
 	} {
 		a := newAutoscaler()
@@ -99,14 +102,15 @@
 	}
 }
 
-func drop(machines *model.Table[string, *placement.Machine], names ...string) {
+func deleteMachines(machines *model.Table[string, *placement.Machine], names ...string) {
 	for _, name := range names {
 		machines.Delete(name)
 	}
 }
 
-// A zone most of whose machines fell silent stays silent until one is up.
-func TestSilentZone(t *testing.T) {
+// A zone in which most machines stop sending heartbeats is silent until one of its machines
+// is up. Terminated machines that delayed heartbeats make known again do not make it silent.
+func TestSilentZoneDetection(t *testing.T) {
 	capacity := newCapacityModel(20 * time.Second)
 	machines := model.NewTable[string, *placement.Machine]()
 	for _, n := range []string{"m1", "m2", "m3"} {
@@ -117,12 +121,12 @@
 		change func()
 		silent bool
 	}{
-		{"all are up", func() {}, false},
-		{"one misses heartbeats", func() { machines.At("m1").MissedHeartbeats = true }, false},
-		{"most are silent", func() { machines.At("m2").Phase = placement.Expired }, true},
-		{"they are terminated", func() { drop(machines, "m1", "m2", "m3") }, true},
-		{"a new one is up", func() { machines.Put("m4", &placement.Machine{Name: "m4", Pool: small, Phase: placement.Current}) }, false},
-		{"delayed heartbeats bring back terminated ones", func() {
+		{"all machines are up", func() {}, false},
+		{"one machine misses heartbeats", func() { machines.At("m1").MissedHeartbeats = true }, false},
+		{"most machines are silent", func() { machines.At("m2").Phase = placement.Expired }, true},
+		{"the machines are terminated", func() { deleteMachines(machines, "m1", "m2", "m3") }, true},
+		{"a new machine is up", func() { machines.Put("m4", &placement.Machine{Name: "m4", Pool: small, Phase: placement.Current}) }, false},
+		{"delayed heartbeats make terminated machines known again", func() {
 			for _, n := range []string{"m5", "m6", "m7"} {
 				machines.Put(n, &placement.Machine{Name: n, Pool: small, Phase: placement.ExpiryReported})
 			}
@@ -132,12 +136,12 @@
 		c.change()
 		capacity.update(machines, model.NewTable[string, *bootingMachine](), at(1))
 		if capacity.zoneSilent("a") != c.silent {
-			t.Errorf("%s: silent is %v", c.name, capacity.zoneSilent("a"))
+			t.Errorf("%s: zoneSilent returns %v", c.name, capacity.zoneSilent("a"))
 		}
 	}
 }
 
-// sentRequest returns the name of the launch request that a tick sends, or none.
+// sentRequest runs a tick and returns the name of the launch request that it sends, or "".
 func sentRequest(a *Autoscaler, s float64) string {
 	for _, action := range a.Tick(at(s), nil, nil, machineTypes, true) {
 		if action.Launch != nil {
@@ -147,9 +151,9 @@
 	return ""
 }
 
-// startRequest makes an autoscaler whose first tick asked for machines, and returns the
-// name of its launch request.
-func startRequest() (a *Autoscaler, name string) {
+// newAutoscalerWithRequest returns an autoscaler whose first tick requested machines, and
+// the name of its launch request.
+func newAutoscalerWithRequest() (a *Autoscaler, name string) {
 	a = newAutoscaler()
 	for _, action := range a.Tick(at(0), []placement.UnmetDemand{demandFor(8, false, 0)}, nil, machineTypes, true) {
 		return a, action.Record.Name
@@ -157,34 +161,35 @@
 	return a, ""
 }
 
-// A launch request is recorded, then sent, and sent again under its name until it is
+// A launch request is recorded, then sent, and retried under the same name until it is
 // resolved.
 func TestRequestLifecycle(t *testing.T) {
-	a, name := startRequest()
+	a, name := newAutoscalerWithRequest()
 	if name != "c-5-1" || sentRequest(a, 5) != "" {
-		t.Fatalf("%q was sent before it was recorded", name)
+		t.Fatalf("the request is named %q, or was sent before it was recorded", name)
 	}
 	a.RequestRecorded(name, true, at(5))
 	if sentRequest(a, 6) != name || sentRequest(a, 8) != "" {
-		t.Fatal("not sent once")
+		t.Fatal("the recorded request is not sent exactly once")
 	}
 	if a.LaunchDone(name, Unknown, nil, at(9)) || sentRequest(a, 10) != name {
-		t.Error("a request without an answer is not sent again")
+		t.Error("a request with an unknown outcome is not retried")
 	}
 	if !a.LaunchDone(name, Granted, []string{"m1"}, at(11)) || a.Booting() != 1 || sentRequest(a, 20) != "" {
-		t.Error("not resolved")
+		t.Error("a granted request is not resolved")
 	}
 }
 
+// A launch request whose record could not be stored is never sent.
 func TestRequestNotRecorded(t *testing.T) {
-	a, name := startRequest()
+	a, name := newAutoscalerWithRequest()
 	a.RequestRecorded(name, false, at(1))
 	if sentRequest(a, 10) != "" {
-		t.Error("sent although its record is not stored")
+		t.Error("the request is sent although its record is not stored")
 	}
 }
 
-// An earlier leader's launch requests are resolved too, and their refusals remembered.
+// An earlier leader's launch requests are resolved too, and their refusals are remembered.
 func TestRestoredRequest(t *testing.T) {
 	a := newAutoscaler()
 	a.RestoreRequest(LaunchRequest{Name: "c-3-9", Pool: small, Count: 1}, at(0))
@@ -193,10 +198,13 @@
 	}
 	if !a.LaunchDone("c-3-9", Refused, nil, at(3)) || len(launches(a, 4, demandFor(1, false, 0))) == 0 ||
 		launches(a, 4, demandFor(1, false, 0))[Market{small, false}] != 0 {
-		t.Error("a refusal is not remembered")
+		t.Error("the refusal of an earlier leader's request is not remembered")
 	}
 }
 
+// Machines that did not boot or are lost are terminated even before the takeover is complete;
+// idle and cordoned ones only afterwards. Machines that the cloud's list still shows after their termination must
+// not count as booting: they would prevent launches.
 func TestScaleIn(t *testing.T) {
 	a := newAutoscaler()
 	machines := model.NewTable[string, *placement.Machine]()
@@ -211,7 +219,7 @@
 	} {
 		machines.Put(name, m)
 	}
-	// Unexpected machines are in the list only; one of them never boots.
+	// These machines are only in the cloud's list; "dead" never boots.
 	a.ReconcileList([]CloudMachine{{Name: "dead", Pool: small, Booting: true, Age: 30 * time.Second},
 		{Name: "new", Pool: small, Booting: true, Age: time.Second},
 		{Name: "idle", Pool: small}}, machines, at(60))
@@ -229,12 +237,12 @@
 	}
 	a.TerminateDone([]string{"idle"}, false, at(100))
 	if got := a.Tick(at(101), nil, machines, machineTypes, true); len(got) != 1 || !reflect.DeepEqual(got[0].Terminate, []string{"idle"}) {
-		t.Errorf("a termination without an answer is not repeated: %+v", got)
+		t.Errorf("a failed termination is not retried: %+v", got)
 	}
 	if failed := a.ReconcileList([]CloudMachine{{Name: "broken", Failed: true}}, machines, at(102)); !reflect.DeepEqual(failed, []string{"broken"}) {
-		t.Errorf("failed: %v", failed)
+		t.Errorf("machines listed as failed: %v", failed)
 	}
-	// A list that lags still shows terminated machines: they do not count as booting.
+	// A lagging list still shows terminated machines: they do not count as booting.
 	a.TerminateDone([]string{"idle", "cordoned"}, true, at(103))
 	booting := a.Booting()
 	a.ReconcileList([]CloudMachine{{Name: "idle", Pool: small}, {Name: "cordoned", Pool: small}}, nil, at(104))
@@ -243,19 +251,19 @@
 	}
 }
 
-// Machines that are terminated without ever having a task are counted, and launching
-// such machines again is a loop.
-func TestThrash(t *testing.T) {
+// Machines that are terminated without ever having had a task are counted, and a launch
+// request in their market soon afterwards counts as a loop.
+func TestThrashCounters(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		unused int
-		again  float64 // when more are launched
+		again  float64 // when more are launched, in seconds; 0: never
 		want   Thrash
 	}{
-		{"a few", minLoopReturns - 1, 60, Thrash{Unused: minLoopReturns - 1}},
-		{"many, and not again", minLoopReturns, 0, Thrash{Unused: minLoopReturns}},
-		{"many, and again", minLoopReturns, 60, Thrash{Unused: minLoopReturns, Loops: 1}},
-		{"again much later", minLoopReturns, 50 + loopWindow.Seconds() + 1, Thrash{Unused: minLoopReturns}},
+		{"a few unused machines", minLoopTerminations - 1, 60, Thrash{Unused: minLoopTerminations - 1}},
+		{"many unused machines, no new launch", minLoopTerminations, 0, Thrash{Unused: minLoopTerminations}},
+		{"many unused machines, a new launch soon afterwards", minLoopTerminations, 60, Thrash{Unused: minLoopTerminations, Loops: 1}},
+		{"many unused machines, a new launch much later", minLoopTerminations, 50 + loopWindow.Seconds() + 1, Thrash{Unused: minLoopTerminations}},
 	} {
 		a, machines := newAutoscaler(), model.NewTable[string, *placement.Machine]()
 		for i := range c.unused + 1 {
@@ -269,7 +277,7 @@
 			a.Tick(at(c.again), []placement.UnmetDemand{demandFor(80, false, 0)}, model.NewTable[string, *placement.Machine](), machineTypes, true)
 		}
 		if got := a.Thrash(); got != c.want {
-			t.Errorf("%s: %+v, not %+v", c.name, got, c.want)
+			t.Errorf("%s: %+v, want %+v", c.name, got, c.want)
 		}
 	}
 }
--- a/internal/autoscaler/capacity.go
+++ b/internal/autoscaler/capacity.go
@@ -7,25 +7,25 @@
 	"github.com/marlwood/marlwood/internal/placement"
 )
 
-// minSilentMachines is the least number of machines by which a zone is judged silent, and
-// the most that are launched in a zone of which no machine is known to be up.
+// minSilentMachines is the minimum number of known machines for which a zone can be found
+// silent, and limits launches in a zone in which no machine is known to be up.
 const minSilentMachines = 3
 
-// capacityModel estimates the cloud's capacity, which it does not publish: a refusal
-// shows it, and machines that are terminated return to it.
+// capacityModel estimates the cloud's capacity, which the cloud does not publish. A refusal
+// reveals the capacity of a market; terminated machines become available again.
 type capacityModel struct {
-	retryWait   time.Duration // before one machine is requested against the estimate
+	retryWait   time.Duration // wait before a single machine is requested beyond the estimate
 	held        map[Market]int
 	heldByZone  map[string]int
 	refused     map[Market]refusal
-	silentZones map[string]time.Time // since when, or the last request there
-	zonesSeenUp map[string]bool      // zones in which a machine was up
+	silentZones map[string]time.Time // last time it was found silent, or of the last launch request there
+	zonesSeenUp map[string]bool      // zones in which a machine was up in this term
 }
 
-// refusal is the last time that a market gave fewer machines than requested.
+// refusal describes the last time that a market launched fewer machines than requested.
 type refusal struct {
 	at   time.Time
-	held int // machines that we had of it then: its capacity
+	held int // machines held in the market at that time: its capacity
 }
 
 func newCapacityModel(retryWait time.Duration) capacityModel {
@@ -39,16 +39,17 @@
 	}
 }
 
-// update counts the machines that there are, and finds the zones that are silent: most
-// of their machines send no heartbeats, so they are partitioned or down.
+// update counts the existing machines and detects silent zones. A zone is silent if most
+// of its machines send no heartbeats, so it is partitioned or down.
 //
-// Guard: without this, the machines lost with a zone were launched again in the same
-// zone, and, booting for ever, kept others from being launched elsewhere (TestSilentZone).
+// Guard: without the detection, replacements for the machines lost with a zone were
+// launched in the same zone. They stayed booting forever, which prevented launches in other
+// zones (TestSilentZoneDetection).
 //
-// Guard: a machine that sends no heartbeats and that the cloud has never listed does not
-// count. Heartbeats that a partition had held back bring back machines that were
-// terminated meanwhile; three of them made a zone look silent for more than a minute, in
-// which nothing was launched there (seed 31030852; TestSilentZone).
+// Guard: a machine that sends no heartbeats and that the cloud has never listed is not
+// counted. Heartbeats that a partition had delayed make machines known again that were
+// terminated in the meantime. Three of them made a zone appear silent for more than a
+// minute, during which nothing was launched there (seed 31030852; TestSilentZoneDetection).
 func (c *capacityModel) update(
 	machines *model.Table[string, *placement.Machine],
 	booting *model.Table[string, *bootingMachine],
@@ -79,8 +80,8 @@
 	c.updateSilentZones(knownByZone, upByZone, now)
 }
 
-// updateSilentZones judges the zones by their known machines and those that are up. A
-// zone without known machines stays as it is.
+// updateSilentZones updates the silent zones from the number of known machines and of
+// machines that are up in each zone. A zone without known machines keeps its state.
 func (c *capacityModel) updateSilentZones(known, up map[string]int, now time.Time) {
 	for zone, n := range known {
 		switch {
@@ -93,31 +94,34 @@
 	}
 }
 
-// zoneSilent tells that most machines of a zone went silent and none was up since.
+// zoneSilent reports whether most machines of a zone were found silent and the zone has not
+// recovered since.
 func (c *capacityModel) zoneSilent(zone string) bool {
 	_, silent := c.silentZones[zone]
 	return silent
 }
 
-// launched records how many machines a request brought.
+// launched records how many machines a launch request was granted.
 func (c *capacityModel) launched(market Market, granted, requested int, now time.Time) {
 	c.held[market] += granted
 	if refused, ok := c.refused[market]; granted < requested {
 		c.refused[market] = refusal{at: now, held: c.held[market]}
 	} else if ok && c.held[market] > refused.held {
-		delete(c.refused, market) // there is more than was estimated
+		delete(c.refused, market) // the capacity is higher than estimated
 	}
 }
 
-// available is how many machines of a market may be requested while inFlight of them
-// are: the estimate, and a single one now and then as a probe.
+// available returns how many more machines of a market may be requested while inFlight
+// machines are requested already. If the estimate allows none, it returns 1 once retryWait
+// has passed and nothing is in flight, as a probe. In a zone for which zoneNeverUp is true,
+// it returns 0 once the machines held there and inFlight add up to minSilentMachines.
 func (c *capacityModel) available(market Market, inFlight int, now time.Time) int {
 	probe := 0
 	if inFlight == 0 {
 		probe = 1
 	}
-	if silentSince, silent := c.silentZones[market.Pool.Zone]; silent {
-		if now.Sub(silentSince) < c.retryWait {
+	if lastSilent, silent := c.silentZones[market.Pool.Zone]; silent {
+		if now.Sub(lastSilent) < c.retryWait {
 			return 0
 		}
 		return probe
@@ -142,18 +146,18 @@
 	return probe
 }
 
-// zoneNeverUp tells that no machine of a zone was up in this term, though machines of
-// other zones were.
+// zoneNeverUp reports whether no machine of a zone was up in this term, although machines
+// of other zones were.
 //
 // Guard: a new leader that finds no machines in a zone does not know whether the zone is
-// partitioned. It once launched dozens there, and while these booted for ever, none
-// elsewhere. A few are tried first, unless no zone has a machine that is up yet
-// (TestScaleOut).
+// partitioned. Without this check, a leader launched dozens of machines there. They stayed
+// booting forever, and no machines were launched in other zones. Only a few are launched
+// first, unless no zone has had a machine that was up (TestScaleOut).
 func (c *capacityModel) zoneNeverUp(zone string) bool {
 	return len(c.zonesSeenUp) > 0 && !c.zonesSeenUp[zone]
 }
 
-// requested records a launch request; in a silent zone it is the probe, after which
+// requested records a launch request. In a silent zone the request is a probe, and
 // retryWait starts again.
 func (c *capacityModel) requested(market Market, now time.Time) {
 	if c.zoneSilent(market.Pool.Zone) {
--- a/internal/autoscaler/cloud.go
+++ b/internal/autoscaler/cloud.go
@@ -24,10 +24,10 @@
 )
 
 const (
-	cloudConnections = 2       // to the cloud's API, at most
-	maxHeadBytes     = 8 << 10 // of an answer's head
-	maxBodyBytes     = 1 << 20 // of an answer's body
-	minBurst         = 2       // calls that may be made at once
+	cloudConnections = 2       // maximum number of connections to the cloud's API
+	maxHeadBytes     = 8 << 10 // of a response's head
+	maxBodyBytes     = 1 << 20 // of a response's body
+	minBurst         = 2       // minimum burst of the rate limiter, in calls
 	listPageSize     = 500     // machines in one page of the list
 )
 
@@ -36,7 +36,7 @@
 
 var errCloud = errors.New("cloud")
 
-// StatusError is an answer of the cloud with another status than 200.
+// StatusError is a response of the cloud with a status other than 200.
 type StatusError struct {
 	Status int
 	Body   []byte
@@ -45,14 +45,14 @@
 // Error returns the status and the beginning of the body.
 func (e *StatusError) Error() string { return fmt.Sprintf("status %d: %.100s", e.Status, e.Body) }
 
-// Cloud is a client of the cloud's API that keeps to a budget of calls.
+// Cloud is a rate-limited client of the cloud's API.
 type Cloud struct {
 	client  *httpwire.Client
 	limiter *rate.Limiter
-	timeout time.Duration // of a call, including the wait for the budget
+	timeout time.Duration // of a call, including the wait for the rate limiter
 }
 
-// NewCloud makes a client that sends at most rps calls a second.
+// NewCloud returns a client that sends at most rps calls per second on average.
 func NewCloud(addr string, rps float64, timeout time.Duration) *Cloud {
 	return &Cloud{
 		client:  httpwire.NewClient(addr, cloudConnections, httpwire.Limits{Head: maxHeadBytes, Body: maxBodyBytes}),
@@ -61,12 +61,12 @@
 	}
 }
 
-// send makes one call and returns the cloud's answer, of whatever status.
+// send makes one call and returns the cloud's response, whatever its status.
 func (c *Cloud) send(ctx context.Context, method, target string, body any) (*httpwire.Response, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	if err := c.limiter.Wait(ctx); err != nil {
-		return nil, fmt.Errorf("%w: budget: %w", errCloud, err)
+		return nil, fmt.Errorf("%w: rate limit: %w", errCloud, err)
 	}
 	var encoded []byte
 	if body != nil {
@@ -82,8 +82,8 @@
 	return resp, nil
 }
 
-// call makes one call and decodes the answer into out, unless out is nil. An answer of
-// another status than 200 is a StatusError.
+// call makes one call and decodes the response into out, unless out is nil. It returns a
+// StatusError if the status is not 200.
 func (c *Cloud) call(ctx context.Context, method, target string, body, out any) error {
 	resp, err := c.send(ctx, method, target, body)
 	if err != nil {
@@ -101,7 +101,7 @@
 	return nil
 }
 
-// Types reads the machine types.
+// Types returns the machine types that the cloud offers.
 func (c *Cloud) Types(ctx context.Context) (model.Catalogue, error) {
 	var out model.Catalogue
 	err := c.call(ctx, http.MethodGet, typesPath, nil, &out)
@@ -111,7 +111,7 @@
 	return out, err
 }
 
-// launchBody is the body of a launch request on the wire.
+// launchBody is the JSON body of a launch request.
 type launchBody struct {
 	Name  string `json:"charter"`
 	Type  string `json:"hull"`
@@ -120,14 +120,15 @@
 	Zone  string `json:"yard"`
 }
 
-// launchAnswer is the cloud's answer to a launch request.
-type launchAnswer struct {
+// launchResponse is the JSON body of the response to a launch request.
+type launchResponse struct {
 	Machines []string `json:"berths"`
 	Error    string   `json:"error"`
 }
 
-// Launch sends a launch request and returns its outcome with the machines that were
-// launched. Whatever is not clearly an answer is Unknown: the request may be in effect.
+// Launch sends a launch request and returns its outcome and the names of the launched
+// machines. If the response is missing or not recognized, the outcome is Unknown: the
+// request may have taken effect.
 func (c *Cloud) Launch(ctx context.Context, request LaunchRequest) (Result, []string) {
 	resp, err := c.send(ctx, http.MethodPost, machinesPath, launchBody{
 		Name:  request.Name,
@@ -139,12 +140,12 @@
 	if err != nil {
 		return Unknown, nil
 	}
-	var answer launchAnswer
-	decodeErr := json.Unmarshal(resp.Body, &answer)
+	var body launchResponse
+	decodeErr := json.Unmarshal(resp.Body, &body)
 	switch {
 	case resp.Status == http.StatusOK && decodeErr == nil:
-		return Granted, answer.Machines
-	case resp.Status == http.StatusServiceUnavailable && answer.Error == noCapacity:
+		return Granted, body.Machines
+	case resp.Status == http.StatusServiceUnavailable && body.Error == noCapacity:
 		return Refused, nil
 	case resp.Status == http.StatusBadRequest:
 		return Rejected, nil
@@ -152,12 +153,12 @@
 	return Unknown, nil
 }
 
-// terminateBody is the body of a termination on the wire.
+// terminateBody is the JSON body of a termination request.
 type terminateBody struct {
 	Machines []string `json:"berths"`
 }
 
-// Terminate terminates machines; without an error they are gone.
+// Terminate terminates machines. If it returns nil, they no longer exist.
 func (c *Cloud) Terminate(ctx context.Context, names []string) error {
 	return c.call(ctx, http.MethodPost, terminatePath, terminateBody{Machines: names}, nil)
 }
@@ -188,7 +189,7 @@
 	}
 }
 
-// List reads the cloud's list of machines, page by page.
+// List returns the cloud's list of machines, which it reads page by page.
 func (c *Cloud) List(ctx context.Context) ([]CloudMachine, error) {
 	var machines []CloudMachine
 	after := ""
--- a/internal/autoscaler/cloud_test.go
+++ b/internal/autoscaler/cloud_test.go
@@ -5,9 +5,8 @@
 	"testing"
 )
 
-// The bodies of calls are part of the cloud's API, with the names and the order of their
-// fields.
-func TestBodies(t *testing.T) {
+// The request bodies match the cloud's API, including the names and the order of the fields.
+func TestRequestBodies(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		body any
@@ -16,7 +15,7 @@
 		{"launch", launchBody{Name: "c-1-2", Type: "large", Spot: true, Count: 3, Zone: "a"},
 			`{"charter":"c-1-2","hull":"large","loaners":true,"number":3,"yard":"a"}`},
 		{"terminate", terminateBody{Machines: []string{"m1", "m2"}}, `{"berths":["m1","m2"]}`},
-		{"terminate nothing", terminateBody{}, `{"berths":null}`},
+		{"terminate without machines", terminateBody{}, `{"berths":null}`},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			got, err := json.Marshal(c.body)
--- a/internal/autoscaler/requests.go
+++ b/internal/autoscaler/requests.go
@@ -7,35 +7,35 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// MaxRent is the most machines that one launch request may ask for.
+// MaxRent is the maximum number of machines in one launch request.
 const MaxRent = 50
 
-// LaunchPrefix is the prefix of the keys of launch requests' records.
+// LaunchPrefix is the key prefix of the launch requests' records.
 const LaunchPrefix = "charter/"
 
-// sendDelay is the least time between a request's record or last unanswered attempt and
-// its next attempt.
+// sendDelay is the minimum time from storing a request's record, or from its last
+// unanswered attempt, to its next attempt.
 const sendDelay = time.Second
 
-// LaunchState is the state of a launch request. Its numbers are stored in recordings.
+// LaunchState is the state of a launch request. Its numeric values are stored in recordings.
 type LaunchState int
 
 // The states of a launch request.
 const (
 	Intended LaunchState = iota // its record is being stored
-	Stored                      // it may be sent, and must be resolved
-	Sent                        // its outcome is awaited
+	Stored                      // its record is stored: it may be sent, and must be resolved
+	Sent                        // it was sent, and its outcome is not known yet
 )
 
-// LaunchRequest asks the cloud for machines of a market. Its record is stored before it
-// is sent, and its name is never used again.
+// LaunchRequest is a request to the cloud for machines of a market. Its record is stored
+// before it is sent, and its name is never reused for another request.
 type LaunchRequest struct {
 	Name  string     `json:"name"`
 	Pool  model.Pool `json:"kind"`
 	Spot  bool       `json:"spot"`
 	Count int        `json:"count"`
 	state LaunchState
-	since time.Time // of the state
+	since time.Time // time of the last state change
 }
 
 func (r *LaunchRequest) market() Market { return Market{Pool: r.Pool, Spot: r.Spot} }
@@ -43,7 +43,7 @@
 // setState is the only place where a launch request's state changes.
 func (r *LaunchRequest) setState(state LaunchState, now time.Time) { r.state, r.since = state, now }
 
-// Result is the outcome of sending a launch request. Its numbers are stored in
+// Result is the outcome of sending a launch request. Its numeric values are stored in
 // recordings.
 type Result int
 
@@ -51,16 +51,16 @@
 const (
 	Granted  Result = iota // some or all machines were launched
 	Refused                // the cloud has no capacity
-	Unknown                // no answer: it is sent again under the same name
-	Rejected               // malformed: it is never sent again
+	Unknown                // no valid response: it is retried under the same name
+	Rejected               // malformed: it is not retried
 )
 
-// String names the outcome for logs.
+// String returns the name of the outcome for logs.
 func (r Result) String() string {
 	return [...]string{"granted", "refused", "unknown", "rejected"}[r]
 }
 
-// newRequest makes a launch request, which is Intended.
+// newRequest adds a launch request in state Intended.
 func (a *Autoscaler) newRequest(market Market, count int, now time.Time) *LaunchRequest {
 	a.requestCount++
 	request := &LaunchRequest{
@@ -74,26 +74,28 @@
 	return request
 }
 
-// RestoreRequest takes over an unresolved launch request of an earlier leader.
+// RestoreRequest adds an unresolved launch request of an earlier leader in state Stored.
 func (a *Autoscaler) RestoreRequest(request LaunchRequest, now time.Time) {
 	request.state, request.since = Stored, now
 	a.requests.Put(request.Name, &request)
 }
 
-// RequestRecorded reports whether a launch request's record was stored.
+// RequestRecorded handles the outcome of storing a launch request's record; ok means that it
+// was stored.
 func (a *Autoscaler) RequestRecorded(name string, ok bool, now time.Time) {
 	request := a.requests.At(name)
 	if request == nil {
 		return
 	}
 	if !ok {
-		a.requests.Delete(name) // never sent
+		a.requests.Delete(name) // it was never sent
 		return
 	}
 	request.setState(Stored, now)
 }
 
-// dueRequests marks the launch requests that are due as sent and returns them.
+// dueRequests marks the launch requests that are due as sent and returns the actions that
+// send them.
 func (a *Autoscaler) dueRequests(now time.Time) []Action {
 	var actions []Action
 	for _, request := range a.requests.All() {
@@ -105,9 +107,8 @@
 	return actions
 }
 
-// LaunchDone reports the outcome of a launch request with the machines that were
-// launched. It returns whether the request is resolved, so that its record can be
-// deleted.
+// LaunchDone handles the outcome of a launch request; names are the launched machines. It
+// reports whether the request is resolved, so that its record can be deleted.
 func (a *Autoscaler) LaunchDone(name string, result Result, names []string, now time.Time) bool {
 	request := a.requests.At(name)
 	if request == nil {
@@ -130,7 +131,7 @@
 	return true
 }
 
-// requestedMachines counts the machines of a market in unresolved launch requests.
+// requestedMachines returns the number of machines of a market in unresolved launch requests.
 func (a *Autoscaler) requestedMachines(market Market) (count int) {
 	for _, request := range a.requests.All() {
 		if request.market() == market {
--- a/internal/autoscaler/scale_in.go
+++ b/internal/autoscaler/scale_in.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	// maxTerminations bounds the machines that are terminated at once.
+	// maxTerminations is the maximum number of machines in one termination.
 	maxTerminations = 100
-	// bootGrace is added to the time after which a booting machine is given up.
+	// bootGrace is added to the time after which a booting machine is terminated.
 	bootGrace = 10 * time.Second
-	// terminatedMemory is how long terminated machines are remembered: far longer than
-	// the cloud's list lags.
-	terminatedMemory = 2 * time.Minute
+	// terminatedRetention is the minimum time that terminated machines are remembered. It
+	// is far longer than the lag of the cloud's list.
+	terminatedRetention = 2 * time.Minute
 )
 
 // CloudMachine is a machine in the cloud's list.
@@ -28,13 +28,13 @@
 }
 
 // ReconcileList reconciles the booting machines with the cloud's list and returns the
-// machines that the cloud calls failed. Listed machines that were not launched in this
-// term are watched like the others until they send a heartbeat. Absence from the list
-// proves nothing, for the list lags.
+// machines that the cloud lists as failed. Listed machines that were not launched in this
+// term also count as booting until they send a heartbeat. A machine that is missing from
+// the list may still exist, because the list lags.
 //
-// Guard: presence in the list proves nothing either. Machines that were just terminated
-// are listed for a while; counted as booting, they kept others from being launched
-// (TestScaleIn).
+// Guard: a listed machine may no longer exist either. Machines that were just terminated
+// stay listed for a while; when they were counted as booting, they prevented launches of
+// other machines (TestScaleIn).
 func (a *Autoscaler) ReconcileList(machines []CloudMachine, known *model.Table[string, *placement.Machine], now time.Time) (failed []string) {
 	a.forgetTerminated(machines, now)
 	for _, machine := range machines {
@@ -45,14 +45,14 @@
 			continue
 		}
 		if known.At(machine.Name) == nil && !a.terminatingOrTerminated(machine.Name) {
-			a.bootingListed(machine, now)
+			a.markListed(machine, now)
 		}
 	}
 	return failed
 }
 
-// bootingListed marks a booting machine as listed, and adds one that is not known.
-func (a *Autoscaler) bootingListed(machine CloudMachine, now time.Time) {
+// markListed marks a booting machine as listed. It adds the machine if it is not known.
+func (a *Autoscaler) markListed(machine CloudMachine, now time.Time) {
 	booting := a.booting.At(machine.Name)
 	if booting == nil {
 		booting = &bootingMachine{
@@ -68,21 +68,22 @@
 	return a.terminating[name] || !a.terminated[name].IsZero()
 }
 
-// forgetTerminated forgets the terminated machines that no list can show any more.
+// forgetTerminated forgets the terminated machines that the list no longer shows, after
+// terminatedRetention.
 func (a *Autoscaler) forgetTerminated(machines []CloudMachine, now time.Time) {
 	listed := make(map[string]bool, len(machines))
 	for _, machine := range machines {
 		listed[machine.Name] = true
 	}
 	for name, at := range a.terminated {
-		if !listed[name] && now.Sub(at) > terminatedMemory {
+		if !listed[name] && now.Sub(at) > terminatedRetention {
 			delete(a.terminated, name)
 		}
 	}
 }
 
-// MarkTerminating marks machines as terminating and returns those that were not so
-// before.
+// MarkTerminating marks machines as terminating, up to maxTerminations, and returns those
+// that were not marked before.
 func (a *Autoscaler) MarkTerminating(names []string) []string {
 	var marked []string
 	for _, name := range names {
@@ -92,7 +93,7 @@
 }
 
 // markTerminating marks a machine as terminating and appends it to marked, unless it is
-// terminating already or there are too many at once.
+// terminating already or maxTerminations are marked.
 func (a *Autoscaler) markTerminating(marked []string, name string) []string {
 	if a.terminating[name] || len(marked) >= maxTerminations {
 		return marked
@@ -101,7 +102,8 @@
 	return append(marked, name)
 }
 
-// TerminateDone reports the outcome of a termination; with ok the machines are gone.
+// TerminateDone handles the outcome of a termination; ok means that the machines no longer
+// exist.
 func (a *Autoscaler) TerminateDone(names []string, ok bool, now time.Time) {
 	for _, name := range names {
 		delete(a.terminating, name)
@@ -112,10 +114,10 @@
 	}
 }
 
-// scaleIn marks the machines to terminate and returns them in order: those that did not
-// boot, whose lease expired long ago, that are cordoned or drained and empty, or that
-// are idle. The latter two are terminated only when the takeover is complete, for it may
-// show tasks on them.
+// scaleIn marks the machines to terminate and returns their names in order: machines that
+// did not boot, whose lease expired long ago, that are cordoned or drained and empty, or
+// that are idle. The last two kinds are terminated only when the takeover is complete,
+// because the takeover may discover tasks on them.
 func (a *Autoscaler) scaleIn(
 	now time.Time,
 	machines *model.Table[string, *placement.Machine],
@@ -147,17 +149,18 @@
 	return names
 }
 
-// bootFailed tells that a machine has taken far longer to boot than usual.
+// bootFailed reports whether a machine has been booting for far longer than usual.
 func (a *Autoscaler) bootFailed(machine *bootingMachine, types map[string]model.MachineType, now time.Time) bool {
 	usual := types[machine.market.Pool.Type].Boot
 	return now.Sub(machine.since) > time.Duration(a.options.BootFactor*float64(usual))+bootGrace
 }
 
-// unreachableTooLong tells that a machine's lease expired, or that it never came up, too long ago.
+// unreachableTooLong reports whether a machine whose lease expired, or that never came up,
+// has been unreachable for longer than SilentWait.
 //
-// Guard: the time counts from the first expiry. A machine that can send heartbeats but
-// receives nothing has its lease expire over and over: counted from the last expiry, it
-// was kept for ever.
+// Guard: the time counts from the first expiry. The lease of a machine that can send
+// heartbeats but receives nothing expires again and again. When the time was counted from
+// the last expiry, such a machine was kept forever.
 func (a *Autoscaler) unreachableTooLong(machine *placement.Machine, now time.Time) bool {
 	if machine.FirstExpired.IsZero() || now.Sub(machine.FirstExpired) <= a.options.SilentWait {
 		return false
@@ -165,7 +168,7 @@
 	return machine.Phase == placement.Expired || machine.Phase == placement.Joining && !machine.Recorded
 }
 
-// idleTooLong tells that a machine without tasks is not needed any more.
+// idleTooLong reports whether a machine without tasks is no longer needed.
 func (a *Autoscaler) idleTooLong(machine *placement.Machine, now time.Time) bool {
 	return !machine.HoldsHeadroom() &&
 		now.Sub(machine.IdleSince) > a.options.Idle &&
--- a/internal/autoscaler/scale_out.go
+++ b/internal/autoscaler/scale_out.go
@@ -8,15 +8,16 @@
 	"github.com/marlwood/marlwood/internal/placement"
 )
 
-// A booting machine counts as capacity for lateBootFactor of its usual boot times and
-// lateBootGrace more.
+// A booting machine counts as capacity for lateBootFactor times its usual boot time plus
+// lateBootGrace.
 const (
 	lateBootFactor = 2
 	lateBootGrace  = 5 * time.Second
 )
 
-// scaleOut covers the demands, first by machines that are being launched and then by new
-// ones, the cheapest per usable task first. It returns the launch requests to record.
+// scaleOut covers the demands, first with machines that are being launched and then with
+// new ones, the cheapest per usable task first. It returns the actions that record the
+// launch requests.
 func (a *Autoscaler) scaleOut(now time.Time, demands []placement.UnmetDemand, types map[string]model.MachineType) []Action {
 	plan := a.newLaunchPlan(now, types)
 	for _, demand := range demands {
@@ -32,7 +33,7 @@
 	return actions
 }
 
-// cover adds machines to the plan until they cover a demand or no market has more.
+// cover adds machines to the plan until they cover a demand or no market has more available.
 func (a *Autoscaler) cover(demand placement.UnmetDemand, plan *launchPlan, now time.Time) {
 	available := func(market Market) bool {
 		return plan.planned[market] < a.capacity.available(market, plan.requested[market], now)
@@ -51,8 +52,9 @@
 	}
 }
 
-// concurrentTasks is how many tasks of a demand must run at once. Short tasks of an array
-// take turns: a machine runs several of them within the demand's horizon.
+// concurrentTasks returns how many tasks of a demand must run at once. Short tasks of an
+// array may run one after another: a machine runs several of them within the demand's
+// horizon.
 func concurrentTasks(demand placement.UnmetDemand) int {
 	if demand.AllAtOnce || demand.Estimate <= 0 || demand.Estimate >= demand.Horizon {
 		return demand.Tasks
@@ -67,7 +69,7 @@
 	machines  []*launchingMachine
 	requested map[Market]int // machines in unresolved launch requests
 	planned   map[Market]int // machines added by this plan
-	markets   []Market       // with planned machines, in the order of their first
+	markets   []Market       // with planned machines, in the order of their first planned machine
 }
 
 // launchingMachine is a machine that is being launched, with its remaining capacity.
@@ -76,7 +78,7 @@
 	free   model.Size
 }
 
-// newLaunchPlan starts a plan with the booting and the requested machines.
+// newLaunchPlan returns a plan that contains the booting and the requested machines.
 func (a *Autoscaler) newLaunchPlan(now time.Time, types map[string]model.MachineType) *launchPlan {
 	plan := &launchPlan{
 		types:     types,
@@ -97,11 +99,10 @@
 	return plan
 }
 
-// countsAsCapacity tells whether a booting machine is likely to come up soon.
+// countsAsCapacity reports whether a booting machine is likely to come up soon.
 //
-// Guard: machines that were launched in a zone which then fell silent do not count: they
-// may never come up, and must not keep others from being launched elsewhere
-// (TestScaleOut).
+// Guard: booting machines in a zone that has become silent do not count. They may never
+// come up, and must not prevent launches in other zones (TestScaleOut).
 func (a *Autoscaler) countsAsCapacity(machine *bootingMachine, types map[string]model.MachineType, now time.Time) bool {
 	if a.capacity.zoneSilent(machine.market.Pool.Zone) {
 		return false
@@ -126,8 +127,8 @@
 	return p.add(market)
 }
 
-// assignTasks assigns a demand's tasks to the machines that may run them, and returns how many
-// tasks are left.
+// assignTasks assigns a demand's tasks to the machines that may run them, and returns the
+// number of tasks left.
 func (p *launchPlan) assignTasks(demand placement.UnmetDemand, tasks int) (left int) {
 	allowed := map[model.Pool]bool{}
 	for _, pool := range demand.Pools {
@@ -141,8 +142,8 @@
 	return tasks
 }
 
-// spotAllowed tells whether a demand's tasks may run on spot instances, or on machines
-// on demand.
+// spotAllowed reports whether a demand's tasks may run on spot instances, if spot is true,
+// or on on-demand machines otherwise.
 func spotAllowed(demand placement.UnmetDemand, spot bool) bool {
 	if spot {
 		return demand.Spot
@@ -150,16 +151,17 @@
 	return !demand.SpotOnly
 }
 
-// fill assigns as many tasks of a size as fit, and returns how many.
+// fill assigns as many of the tasks of a size as fit, and returns their number.
 func (m *launchingMachine) fill(size model.Size, tasks int) int {
 	n := min(tasks, size.Slots(m.free))
 	m.free = m.free.Sub(size.Times(n))
 	return n
 }
 
-// cheapest returns the market with the lowest price per task of the demand that a machine
-// of it holds, in one zone only if it is named. A machine is worth no more than the
-// demand can use, so for few tasks a small one may be cheaper.
+// cheapest returns the available market with the lowest price of a machine per task of the
+// demand that the machine can run. If zone is not empty, only markets of that zone are
+// considered. Capacity beyond the demand's tasks does not count, so a small machine may be
+// cheaper for few tasks.
 func cheapest(demand placement.UnmetDemand, types map[string]model.MachineType, zone string, available func(Market) bool) (best Market, found bool) {
 	bestCost := math.Inf(1)
 	for _, pool := range demand.Pools {
@@ -182,7 +184,7 @@
 	return best, found
 }
 
-// marketPrice is a machine type's price on demand or spot; types without a spot price
+// marketPrice returns a machine type's on-demand or spot price. Types without a spot price
 // are not sold as spot instances.
 func marketPrice(machineType model.MachineType, spot bool) (price float64, sold bool) {
 	if spot {
--- a/internal/autoscaler/state.go
+++ b/internal/autoscaler/state.go
@@ -10,18 +10,18 @@
 )
 
 // State is a copy of everything in an autoscaler that its later decisions depend on. It
-// and the types in it are stored in recordings under the names of their fields.
+// and the types in it are stored in recordings under the Go names of their fields.
 type State struct {
 	Token    uint64
-	Named    int // launch requests so far
+	Named    int // number of launch requests made in the term
 	Charters []LaunchRequestState
 	Booting  []BootingState
 	Leaving  []string             // machines that are being terminated
 	Gone     map[string]time.Time // terminated machines
 	Held     []HeldState
 	Refused  []RefusalState
-	Zones    map[string]int       // machines by zone
-	Dark     map[string]time.Time // silent zones
+	Zones    map[string]int       // number of machines held, by zone
+	Dark     map[string]time.Time // silent zones, with the last time found silent or of the last launch request
 	Heard    []string             // zones in which a machine sent a heartbeat
 }
 
@@ -38,7 +38,7 @@
 	Since   time.Time
 }
 
-// BootingState is a machine that has sent no heartbeat yet.
+// BootingState is the stored form of a booting machine.
 type BootingState struct {
 	Name   string
 	Source MarketState
@@ -46,13 +46,13 @@
 	Listed bool
 }
 
-// HeldState is how many machines of a market there are.
+// HeldState is the number of machines held in a market.
 type HeldState struct {
 	Source MarketState
 	Count  int
 }
 
-// RefusalState is what a refusal showed of a market's capacity.
+// RefusalState is the stored form of a market's last refusal, which revealed its capacity.
 type RefusalState struct {
 	Source MarketState
 	At     time.Time
@@ -63,7 +63,7 @@
 
 func (m MarketState) restore() Market { return Market{Pool: m.Kind, Spot: m.Spot} }
 
-// compareMarkets orders markets by type, zone, and on demand before spot.
+// compareMarkets orders markets by type, then by zone, then on-demand before spot.
 func compareMarkets(x, y Market) int {
 	spot := func(m Market) int {
 		if m.Spot {
@@ -78,7 +78,7 @@
 	)
 }
 
-// Export copies the autoscaler's state.
+// Export returns the autoscaler's state. The maps in it are shared with the autoscaler.
 func (a *Autoscaler) Export() *State {
 	state := &State{
 		Token:   a.token,
@@ -114,7 +114,8 @@
 	return state
 }
 
-// Import makes an autoscaler that decides like the one whose state was exported.
+// Import returns an autoscaler that makes the same decisions as the one whose state was
+// exported.
 func Import(options Options, state *State) *Autoscaler {
 	a := New(options, state.Token)
 	a.requestCount = state.Named
