--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -2,19 +2,19 @@
 
 import "maps"
 
-// Transfer is a part of a limit on its way from one region to another.
+// Transfer is a part of a limit that moves from one region to another.
 type Transfer struct {
-	Number uint64 `json:"n"` // counted by giver, receiver and team, from 1
+	Number uint64 `json:"n"` // sequence number per giver, receiver and team, from 1
 	Amount
 }
 
-// Account is the stored record of a team in one region. It is written as a whole, under the preconditions
-// of the revision that it replaces and of the leader's fencing token.
+// Account is the stored record of a team in one region. It is written as a whole. The preconditions of a
+// write are the revision that it replaces and the leader's fencing token.
 type Account struct {
 	Allocation Amount              `json:"has"`
 	Sent       map[string]Transfer `json:"sent,omitempty"`     // by receiver: debited here, not known to be credited there
-	Last       map[string]uint64   `json:"last,omitempty"`     // by receiver: number of the last transfer made
-	Credited   map[string]uint64   `json:"credited,omitempty"` // by giver: number of the last transfer credited
+	Last       map[string]uint64   `json:"last,omitempty"`     // by receiver: number of the last transfer debited here
+	Credited   map[string]uint64   `json:"credited,omitempty"` // by giver: number of the last transfer credited here
 }
 
 // clone returns a copy that shares no map with the account.
@@ -23,8 +23,8 @@
 	return a
 }
 
-// debit moves an amount from the allocation to a new transfer. No other transfer to that region may be on
-// its way.
+// debit moves an amount from the allocation to a new transfer. No other transfer to the receiver may be in
+// transit.
 func (a *Account) debit(receiver string, amount Amount) {
 	if a.Last == nil {
 		a.Last = map[string]uint64{}
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -1,15 +1,15 @@
-// Package quota enforces teams' limits across regions that may lose contact with each other.
+// Package quota enforces teams' resource limits across regions that may be partitioned from each other.
 //
 // Each region holds a part of every limit, its allocation, and admits tasks within it whether or not it
-// reaches the other regions. Allocations move between regions by numbered transfers that are stored at
-// both ends: debited at the giver before they are offered, credited once at the receiver. In the
-// literature this is known as escrow, or the demarcation protocol.
+// can reach the other regions. Allocations move between regions by numbered transfers that are stored in
+// both regions: the giver debits a transfer before it sends it, and the receiver credits it exactly once.
+// In the literature this is known as escrow, or the demarcation protocol.
 //
-// Invariant: the allocations and the transfers on their way add up to the limit, whatever messages and
-// writes are lost, late or repeated, and whichever leaders follow each other.
+// Invariant: the allocations and the transfers in transit add up to the limit, even if messages and writes
+// are lost, delayed or repeated, and across changes of leader.
 //
-// Ledger is pure: events and the time go in, records to write and messages come out. It does no input or
-// output and is not safe for concurrent use. Register and Client carry its messages over gRPC.
+// Ledger does no input or output: its inputs are events and the time, its outputs are records to write and
+// messages to send. It is not safe for concurrent use. Register and Client carry its messages over gRPC.
 package quota
 
 import (
@@ -20,7 +20,7 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// Demand is what a region's tasks of a team use and request, at this moment.
+// Demand is what a team's tasks in a region use and request at present.
 type Demand struct {
 	Used    model.Size // by all tasks that run or may run
 	Waiting model.Size // by tasks that wait
@@ -28,14 +28,14 @@
 }
 
 // Order is the position of a waiting job among the jobs of all regions that wait for a team's limit.
-// Every region sorts by it alike, so that two of them never starve each other.
+// All regions sort by it in the same way, so that two regions never starve each other.
 type Order struct {
-	Rank   int   // of its priority; the higher comes first
+	Rank   int   // rank of its priority; the higher comes first
 	Since  int64 // when it was accepted, in Unix milliseconds; the lower comes first
 	Region string
 }
 
-// before reports whether a job comes before another.
+// before reports whether a job comes before another in the order.
 func (o Order) before(other Order) bool {
 	return cmp.Or(
 		cmp.Compare(other.Rank, o.Rank),
@@ -44,8 +44,8 @@
 	) < 0
 }
 
-// Write is an account that is due to be written, under the preconditions of the revision (0: there is no
-// record) and of the leader's fencing token.
+// Write is an account to be written. Its preconditions are the revision (0: there is no record) and the
+// leader's fencing token.
 type Write struct {
 	Team     string
 	Account  Account
@@ -59,19 +59,19 @@
 const (
 	Stored  Outcome = iota // it was executed
 	Refused                // a precondition failed: another write came first
-	Unknown                // without an answer: it may have been executed, or may still be
+	Unknown                // there was no answer: it may have been executed, or may still be executed
 )
 
-// maxWritesInFlight bounds the writes under way at once, of all teams.
+// maxWritesInFlight is the maximum number of writes in flight, for all teams together.
 const maxWritesInFlight = 8
 
-// Ledger is a region's accounts as one leader's term knows them.
+// Ledger holds a region's accounts during one leader's term.
 type Ledger struct {
 	region         string
-	regions        []string // all regions, this one included
+	regions        []string // all regions, including this one; sorted
 	limits         map[string]Amount
 	teams          *model.Table[string, *teamAccount]
-	nextExchange   map[string]time.Time // by region: when the next message is due at the earliest
+	nextExchange   map[string]time.Time // by region: earliest time of the next message
 	writesInFlight int
 }
 
@@ -81,13 +81,13 @@
 // The phases of an account.
 const (
 	phaseUnread    accountPhase = iota // the record has not been read in this term
-	phaseCommitted                     // the record is known and no write is under way
-	phaseWriting                       // a write is under way
-	phaseAmbiguous                     // a write was refused or has no answer: the record must be read
-	phaseResending                     // the write may still be executed: it is sent again unchanged
+	phaseCommitted                     // the record is known and no write is in flight
+	phaseWriting                       // a write is in flight
+	phaseAmbiguous                     // a write was refused or its outcome is unknown: the record must be read
+	phaseResending                     // the write may still be executed: it must be sent again unchanged
 )
 
-// teamAccount is a team's account with what is known of its demand here and in other regions.
+// teamAccount is a team's account together with its demand here and the requests of other regions.
 type teamAccount struct {
 	phase        accountPhase
 	stored       Account
@@ -95,7 +95,7 @@
 	pending      *Account // a write that may still be executed; nil: none
 	demand       Demand
 	requests     map[string]request  // by region
-	incoming     map[string]Transfer // by giver: to be credited
+	incoming     map[string]Transfer // by giver: transfer to be credited
 	acknowledged map[string]uint64   // by receiver: number of the last transfer that it has credited
 }
 
@@ -118,14 +118,14 @@
 // setPhase is the only place where an account's phase changes.
 func (t *teamAccount) setPhase(phase accountPhase) { t.phase = phase }
 
-// setStored records what the account's record holds now. No write is pending any more.
+// setStored sets the account and revision of the stored record. No write is pending afterwards.
 func (t *teamAccount) setStored(account Account, revision uint64) {
 	t.stored, t.revision, t.pending = account, revision, nil
 	t.setPhase(phaseCommitted)
 }
 
-// New returns the ledger of one region among all of them, for the teams with limits. Nothing may be used
-// before the accounts are read.
+// New returns the ledger of one region, given all regions and the limits of teams. Limit returns zero until
+// the accounts are read.
 func New(region string, regions []string, limits map[string]Amount) *Ledger {
 	l := &Ledger{
 		region:       region,
@@ -150,12 +150,12 @@
 	return names
 }
 
-// RecordRead reports a team's record, as it was read under this term's fencing token after TeamsToRead
-// named it. Revision 0 means that there is none.
+// RecordRead handles a team's record that was read under this term's fencing token after TeamsToRead
+// returned the team. Revision 0 means that there is no record.
 //
-// Guard: an unanswered write may still be executed as long as the revision that it expects stands. It is
-// sent again unchanged: whichever of the two is executed first makes the other fail. TestOpenChanges and
-// TestHistories show it.
+// Guard: an unanswered write may still be executed as long as the record has the revision that it expects.
+// It is sent again unchanged: whichever of the two writes is executed first makes the other fail.
+// TestLimitDuringPendingWrite and TestLimitInvariantUnderFaults show it.
 func (l *Ledger) RecordRead(name string, account Account, revision uint64) {
 	team := l.teams.At(name)
 	switch {
@@ -167,7 +167,7 @@
 	}
 }
 
-// WriteDone reports the outcome of a Write, with the record's new revision if it was stored.
+// WriteDone handles the outcome of a Write; revision is the record's new revision if it was stored.
 func (l *Ledger) WriteDone(name string, outcome Outcome, revision uint64) {
 	team := l.teams.At(name)
 	if team == nil || team.phase != phaseWriting {
@@ -181,12 +181,12 @@
 	team.setStored(*team.pending, revision)
 }
 
-// Limit returns what the region's tasks of a team may use now: the stored allocation, or while a write is
-// pending the lower of the allocations before and after it. It is zero before the record is read.
+// Limit returns the amount that a team's tasks in this region may use now: the stored allocation or, while a
+// write is pending, the minimum of the allocations before and after it. It is zero until the record is read.
 //
-// Guard: an unanswered debit may be executed at any time while its preconditions hold. When it counted as
-// not made, its amount was used both here and in the region that received it. TestOpenChanges and
-// TestHistories show it.
+// Guard: an unanswered debit may be executed at any time while its preconditions hold. When such a debit was
+// treated as not executed, its amount was used both here and in the region that received it.
+// TestLimitDuringPendingWrite and TestLimitInvariantUnderFaults show it.
 func (l *Ledger) Limit(name string) Amount {
 	team := l.teams.At(name)
 	if team == nil || team.revision == 0 {
--- a/internal/quota/message.go
+++ b/internal/quota/message.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// exchangeInterval is the least time between two messages to the same region.
+// exchangeInterval is the minimum time between two messages to the same region.
 const exchangeInterval = time.Second
 
-// Message is what one region's leader sends to another's. It may be lost, late or repeated.
+// Message is a message from one region's leader to another's. It may be lost, delayed or repeated.
 type Message struct {
 	From  string
 	Teams []TeamMessage
@@ -14,19 +14,19 @@
 // TeamMessage is the part of a message about one team.
 type TeamMessage struct {
 	Team     string
-	Transfer Transfer // on its way to the receiver of the message; number 0: none
-	Credited uint64   // number of the receiver's last transfer that is credited at the sender
-	Want     Amount   // the request of the sender
-	Order    Order    // of the job that it is requested for
+	Transfer Transfer // in transit to the receiver of the message; number 0: none
+	Credited uint64   // number of the receiver's last transfer that the sender has credited
+	Want     Amount   // amount that the sender requests
+	Order    Order    // of the first job that the amount is requested for
 }
 
-// Due reports whether a message to another region is due: something is requested from it or on its way to
-// it, and the last message was sent long enough ago.
+// Due reports whether a message to another region is due: an amount is requested from it or in transit to
+// it, and the last message was sent at least exchangeInterval ago.
 func (l *Ledger) Due(now time.Time, region string) bool {
 	return !now.Before(l.nextExchange[region]) && len(l.Message(region).Teams) > 0
 }
 
-// MessageSent records that a message is sent to a region now.
+// MessageSent records that a message was sent to a region at time now.
 func (l *Ledger) MessageSent(now time.Time, region string) {
 	l.nextExchange[region] = now.Add(exchangeInterval)
 }
@@ -41,7 +41,7 @@
 	return others
 }
 
-// Message returns the present message to another region. It leaves out the teams with neither a transfer
+// Message returns the message to send to another region now. It omits teams that have neither a transfer
 // nor a request.
 func (l *Ledger) Message(region string) Message {
 	message := Message{From: l.region}
@@ -63,8 +63,8 @@
 	return message
 }
 
-// Reply returns the answer to a message: the present Message to its sender, and acknowledgements of the
-// transfers that the message named.
+// Reply returns the reply to a message: the current Message to its sender, with acknowledgements for all
+// teams that have a transfer in the received message.
 func (l *Ledger) Reply(received Message) Message {
 	reply := l.Message(received.From)
 	included := map[string]bool{}
@@ -94,7 +94,7 @@
 	}
 }
 
-// handle records what another region's message says about the team.
+// handle records the part of another region's message that concerns the team.
 func (t *teamAccount) handle(now time.Time, from string, part TeamMessage) {
 	t.acknowledged[from] = max(t.acknowledged[from], part.Credited)
 	if part.Transfer.Number > t.stored.Credited[from] && part.Transfer.Number >= t.incoming[from].Number {
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -27,16 +27,16 @@
 			sum = sum.Add(initialAllocation(limit, regions, r))
 		}
 		if sum != limit {
-			t.Errorf("%v is divided into %v", limit, sum)
+			t.Errorf("the initial allocations of %v add up to %v", limit, sum)
 		}
 	}
 }
 
-// record is the stored record of the one team in a region.
+// record is the stored record of the only team in a region.
 type record struct {
 	account  Account
 	revision uint64
-	token    uint64 // of the present leader
+	token    uint64 // fencing token of the current leader
 }
 
 // sentWrite is a write that may still be executed.
@@ -46,20 +46,20 @@
 	token  uint64
 }
 
-// sentMessage is a message under way.
+// sentMessage is a message in transit.
 type sentMessage struct {
 	to      string
 	message Message
 }
 
-// cluster is three regions with one team, whose leaders exchange messages that may be lost, late and
-// repeated, and whose writes may be executed late.
+// cluster is three regions with one team. Their leaders exchange messages that may be lost, delayed and
+// repeated, and their writes may be executed late.
 type cluster struct {
 	t          *rapid.T
 	limit      Amount
 	records    map[string]*record
 	ledgers    map[string]*Ledger
-	used       map[string]float64 // CPUs of the running tasks, which run on under any leader
+	used       map[string]float64 // CPUs of the running tasks, which continue across changes of leader
 	waiting    map[string]float64
 	messages   []sentMessage
 	lateWrites []sentWrite
@@ -85,7 +85,7 @@
 	return c
 }
 
-// electLeader begins the term of a new leader in a region.
+// electLeader starts the term of a new leader in a region.
 func (c *cluster) electLeader(region string) {
 	c.records[region].token++
 	c.ledgers[region] = New(region, regions, map[string]Amount{theTeam: c.limit})
@@ -101,7 +101,7 @@
 	return Stored
 }
 
-// demand is the present demand of a region.
+// demand returns the current demand of a region.
 func (c *cluster) demand(region string) map[string]Demand {
 	return map[string]Demand{theTeam: {
 		Used:    cpus(c.used[region]),
@@ -110,7 +110,7 @@
 	}}
 }
 
-// tick runs a region's leader once, with drawn outcomes of its writes.
+// tick runs a region's leader once. The outcomes of its writes are drawn at random.
 func (c *cluster) tick(region string) {
 	l, rec := c.ledgers[region], c.records[region]
 	for _, name := range l.TeamsToRead() {
@@ -124,7 +124,7 @@
 		case 0: // executed late, or never
 			c.lateWrites = append(c.lateWrites, sent)
 			l.WriteDone(w.Team, Unknown, 0)
-		case 1: // executed without an answer
+		case 1: // executed, but the answer is lost
 			c.execute(sent)
 			l.WriteDone(w.Team, Unknown, 0)
 		default:
@@ -139,7 +139,8 @@
 	}
 }
 
-// deliver delivers a message under way, or loses it, or delivers it and keeps it to be repeated.
+// deliver takes a message in transit and loses it, delivers it, or delivers it and keeps it so that it is
+// repeated.
 func (c *cluster) deliver() {
 	if len(c.messages) == 0 {
 		return
@@ -157,8 +158,8 @@
 	}
 }
 
-// check fails when allocations and transfers do not add up to the limit, or when more is used than is
-// allocated.
+// check fails the test if allocations and transfers in transit do not add up to the limit, or if more is used
+// than allocated.
 func (c *cluster) check(event string) {
 	sum, used := Amount{}, 0.0
 	for _, region := range regions {
@@ -175,20 +176,20 @@
 		}
 		used += c.used[region]
 		if !roundedUp(cpus(c.used[region])).Within(allocation) {
-			c.t.Fatalf("after %s: %s uses %g of its %v", event, region, c.used[region], allocation)
+			c.t.Fatalf("after %s: %s uses %g CPUs, its allocation is %v", event, region, c.used[region], allocation)
 		}
 	}
 	if sum != c.limit {
-		c.t.Fatalf("after %s: %v is allocated and on its way, the limit is %v", event, sum, c.limit)
+		c.t.Fatalf("after %s: %v is allocated and in transit, the limit is %v", event, sum, c.limit)
 	}
 	if !roundedUp(cpus(used)).Within(c.limit) {
-		c.t.Fatalf("after %s: %g is used, the limit is %v", event, used, c.limit)
+		c.t.Fatalf("after %s: %g CPUs are used, the limit is %v", event, used, c.limit)
 	}
 }
 
-// Whatever is lost, late or repeated, and whoever leads, allocations and transfers add up to the limit, and
-// no region uses more than its allocation.
-func TestHistories(t *testing.T) {
+// Allocations and transfers in transit add up to the limit and no region uses more than its allocation, even
+// if messages and writes are lost, delayed or repeated and leaders change.
+func TestLimitInvariantUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newCluster(t)
 		for range rapid.IntRange(50, 300).Draw(t, "steps") {
@@ -231,7 +232,7 @@
 	})
 }
 
-// runWithoutFaults runs ticks and messages without any loss.
+// runWithoutFaults runs ticks and exchanges messages without faults.
 func (c *cluster) runWithoutFaults(seconds float64) {
 	for until := c.now + seconds; c.now < until; c.now += 0.5 {
 		for _, region := range regions {
@@ -254,9 +255,9 @@
 	}
 }
 
-// After any history the whole limit is usable where work waits, within ten seconds without faults, and then
-// no more messages are due.
-func TestLimitFollowsWork(t *testing.T) {
+// After any history of faults, the whole limit becomes usable in the region where tasks wait within ten
+// seconds without faults, and then no more messages are due.
+func TestLimitMovesToWaitingRegion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newCluster(t)
 		for range rapid.IntRange(0, 120).Draw(t, "steps") {
@@ -276,13 +277,13 @@
 		c.waiting[where] = float64(c.limit.CPUs)
 		c.runWithoutFaults(10)
 		if got := c.ledgers[where].Limit(theTeam); got != c.limit {
-			t.Fatalf("%s may use %v of %v", where, got, c.limit)
+			t.Fatalf("%s may use %v of the limit %v", where, got, c.limit)
 		}
 		for _, region := range regions {
 			l := c.ledgers[region]
 			for _, other := range l.OtherRegions() {
 				if message := l.Message(other); len(message.Teams) > 0 {
-					t.Fatalf("%s still sends %s %+v", region, other, message)
+					t.Fatalf("%s still sends a message to %s: %+v", region, other, message)
 				}
 			}
 		}
@@ -290,35 +291,36 @@
 	})
 }
 
-// Two regions that gather allocation for gangs of the same team do not starve each other: the one that comes
-// first in the common order gets the whole limit, then the other.
-func TestGatherInOneOrder(t *testing.T) {
+// Two regions that gather allocation for gangs of the same team do not starve each other: the region that
+// comes first in the common order gets the whole limit, and after it the other.
+func TestCompetingRegionsGatherInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newCluster(t)
 		whole := float64(c.limit.CPUs) / unitsPerResource
 		c.runWithoutFaults(3)
-		first, second := regions[1], regions[2] // "west" is the shorter name: it was accepted before
+		first, second := regions[1], regions[2] // "west" comes first: the shorter name has the earlier Since
 		if len(second) < len(first) {
 			first, second = second, first
 		}
 		c.waiting[first], c.waiting[second] = whole, whole
 		c.runWithoutFaults(10)
 		if got := c.ledgers[first].Limit(theTeam); got != c.limit {
-			t.Fatalf("%s gathered %v of %v", first, got, c.limit)
+			t.Fatalf("%s gathered %v of the limit %v", first, got, c.limit)
 		}
 		c.used[first], c.waiting[first] = whole, 0
 		c.runWithoutFaults(5)
 		c.used[first] = 0
 		c.runWithoutFaults(10)
 		if got := c.ledgers[second].Limit(theTeam); got != c.limit {
-			t.Fatalf("then %s gathered %v of %v", second, got, c.limit)
+			t.Fatalf("after the first region was done, %s gathered %v of the limit %v", second, got, c.limit)
 		}
 	})
 }
 
-// What a region may use while a write is pending, and what it does after each outcome.
-func TestOpenChanges(t *testing.T) {
-	begun := Account{Allocation: Amount{CPUs: 10_000}, Credited: map[string]uint64{"south": 4}}
+// While a write is pending or its outcome is unknown, a region may use only the minimum of the allocations
+// before and after it. A write that may still be executed is sent again unchanged.
+func TestLimitDuringPendingWrite(t *testing.T) {
+	initial := Account{Allocation: Amount{CPUs: 10_000}, Credited: map[string]uint64{"south": 4}}
 	want := Message{From: "west", Teams: []TeamMessage{{Team: theTeam, Want: Amount{CPUs: 6000}, Order: Order{Rank: 1}}}}
 	give := Message{From: "south", Teams: []TeamMessage{{Team: theTeam, Transfer: Transfer{5, Amount{CPUs: 3000}}}}}
 	for _, c := range []struct {
@@ -332,14 +334,14 @@
 		again    bool     // the write is sent again
 	}{
 		{"a debit, stored", want, 0, Stored, Account{}, 0, [2]int64{4000, 4000}, false},
-		{"a debit of what is idle", want, 9.5, Stored, Account{}, 0, [2]int64{9500, 9500}, false},
-		{"a debit without an answer, not executed yet", want, 0, Unknown, begun, 7, [2]int64{4000, 4000}, true},
-		{"a debit without an answer, executed", want, 0, Unknown,
+		{"a debit of the idle allocation", want, 9.5, Stored, Account{}, 0, [2]int64{9500, 9500}, false},
+		{"a debit with unknown outcome, not executed yet", want, 0, Unknown, initial, 7, [2]int64{4000, 4000}, true},
+		{"a debit with unknown outcome, executed", want, 0, Unknown,
 			Account{Allocation: Amount{CPUs: 4000}, Last: map[string]uint64{"west": 1}, Sent: map[string]Transfer{"west": {1, Amount{CPUs: 6000}}}}, 8,
 			[2]int64{4000, 4000}, false},
 		{"a credit, stored", give, 0, Stored, Account{}, 0, [2]int64{10_000, 13_000}, false},
-		{"a credit without an answer", give, 0, Unknown, begun, 7, [2]int64{10_000, 10_000}, true},
-		{"a credit that was made before", Message{From: "south", Teams: []TeamMessage{{Team: theTeam, Transfer: Transfer{4, Amount{CPUs: 3000}}}}},
+		{"a credit with unknown outcome", give, 0, Unknown, initial, 7, [2]int64{10_000, 10_000}, true},
+		{"a transfer that was credited before", Message{From: "south", Teams: []TeamMessage{{Team: theTeam, Transfer: Transfer{4, Amount{CPUs: 3000}}}}},
 			0, Stored, Account{}, 0, [2]int64{10_000, 10_000}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -347,12 +349,12 @@
 			if l.Limit(theTeam) != (Amount{}) {
 				t.Error("the limit is not zero before the record is read")
 			}
-			l.RecordRead(theTeam, begun.clone(), 7)
+			l.RecordRead(theTeam, initial.clone(), 7)
 			l.HandleMessage(at(0), c.message)
 			demand := map[string]Demand{theTeam: {Used: cpus(c.used)}}
 			writes := l.Tick(at(0), demand)
 			if got := l.Limit(theTeam).CPUs; got != c.limit[0] {
-				t.Errorf("%d may be used while it is pending, want %d", got, c.limit[0])
+				t.Errorf("the limit is %d while the write is pending, want %d", got, c.limit[0])
 			}
 			for _, w := range writes {
 				l.WriteDone(w.Team, c.outcome, 8)
@@ -361,27 +363,27 @@
 				l.RecordRead(name, c.read, c.revision)
 			}
 			if got := l.Limit(theTeam).CPUs; got != c.limit[1] {
-				t.Errorf("%d may be used then, want %d", got, c.limit[1])
+				t.Errorf("the limit is %d after the outcome, want %d", got, c.limit[1])
 			}
 			again := l.Tick(at(0.1), demand)
 			if (len(again) > 0) != c.again || c.again && fmt.Sprint(again) != fmt.Sprint(writes) {
-				t.Errorf("then it writes %v, after %v", again, writes)
+				t.Errorf("the next tick writes %v, the first wrote %v", again, writes)
 			}
 		})
 	}
 }
 
-// A partitioned region keeps its allocation, for however long.
-func TestCutOff(t *testing.T) {
+// A partitioned region keeps its allocation, however long the partition lasts.
+func TestPartitionedRegionKeepsAllocation(t *testing.T) {
 	l := New("north", regions, map[string]Amount{theTeam: {CPUs: 30_000}})
 	l.RecordRead(theTeam, Account{Allocation: Amount{CPUs: 10_000}, Last: map[string]uint64{"west": 1},
 		Sent: map[string]Transfer{"west": {1, Amount{CPUs: 6000}}}}, 7)
 	for seconds := 0.0; seconds < 3600; seconds += 0.5 {
 		if w := l.Tick(at(seconds), map[string]Demand{theTeam: {Used: cpus(10), Waiting: cpus(20)}}); len(w) > 0 {
-			t.Fatalf("after %v s: %v", seconds, w)
+			t.Fatalf("after %v s the partitioned region writes %v", seconds, w)
 		}
 	}
 	if l.Limit(theTeam) != (Amount{CPUs: 10_000}) || !l.Due(at(3600), "west") {
-		t.Errorf("after an hour it has %v, and a message to west is due: %v", l.Limit(theTeam), l.Due(at(3600), "west"))
+		t.Errorf("after an hour the limit is %v, and a message to west is due: %v", l.Limit(theTeam), l.Due(at(3600), "west"))
 	}
 }
--- a/internal/quota/transfer.go
+++ b/internal/quota/transfer.go
@@ -7,11 +7,12 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// requestTTL is how long another region's request counts after it was received.
+// requestTTL is how long another region's request remains valid after it was received.
 const requestTTL = 3 * time.Second
 
-// Tick takes the teams' present demand, decides on transfers, and returns the accounts to write. What it
-// debits is missing from Limit at once, so the demand must be exact at the moment of the call.
+// Tick takes the teams' current demand, decides on transfers, and returns the accounts to write. Limit no
+// longer includes the debited amounts as soon as Tick returns, so the demand must be exact at the time of
+// the call.
 func (l *Ledger) Tick(now time.Time, demands map[string]Demand) (writes []Write) {
 	for name, team := range l.teams.All() {
 		team.demand = demands[name]
@@ -28,7 +29,7 @@
 	return writes
 }
 
-// planChange sets a team's pending account to its next change. It reports false if none is due.
+// planChange sets a team's pending account to the next one to write. It reports whether a write is due.
 func (l *Ledger) planChange(now time.Time, name string, team *teamAccount) bool {
 	switch {
 	case team.phase == phaseResending:
@@ -54,7 +55,7 @@
 // ones.
 func (l *Ledger) applyTransfers(team *teamAccount, next *Account) (changed bool) {
 	for _, region := range l.regions {
-		if sent, onItsWay := next.Sent[region]; onItsWay && team.acknowledged[region] >= sent.Number {
+		if sent, inTransit := next.Sent[region]; inTransit && team.acknowledged[region] >= sent.Number {
 			delete(next.Sent, region)
 			changed = true
 		}
@@ -71,8 +72,8 @@
 	return changed
 }
 
-// grantRequests debits idle allocation for the regions that request it, in the common order. Waiting work
-// of this region that comes before theirs keeps what it may use.
+// grantRequests debits idle allocation for the regions that request it, in the common order. Allocation that
+// this region's waiting tasks need is kept unless the request comes before them in that order.
 func (t *teamAccount) grantRequests(now time.Time, next *Account) (granted bool) {
 	waiting := roundedUp(t.demand.Waiting)
 	// A credit that is not stored yet must not be given away.
@@ -95,12 +96,12 @@
 	return granted
 }
 
-// requestingRegions returns the regions with a current request and no transfer on its way, in the common
-// order.
+// requestingRegions returns the regions that have a valid request and no transfer in transit to them, in the
+// common order.
 func (t *teamAccount) requestingRegions(now time.Time, next *Account) []string {
 	var requesting []string
 	for region, wanted := range t.requests {
-		if _, onItsWay := next.Sent[region]; !onItsWay && now.Sub(wanted.receivedAt) < requestTTL {
+		if _, inTransit := next.Sent[region]; !inTransit && now.Sub(wanted.receivedAt) < requestTTL {
 			requesting = append(requesting, region)
 		}
 	}
@@ -113,7 +114,8 @@
 	return requesting
 }
 
-// shortfall returns what a team's waiting tasks need beyond what they may use.
+// shortfall returns the amount that a team's running and waiting tasks need beyond Limit, up to the team's
+// whole limit. It is zero if no tasks wait or no record of the account is known.
 func (l *Ledger) shortfall(name string, team *teamAccount) Amount {
 	if team.demand.Waiting == (model.Size{}) || team.revision == 0 {
 		return Amount{}
--- a/internal/quota/wire.go
+++ b/internal/quota/wire.go
@@ -13,7 +13,7 @@
 	"github.com/marlwood/marlwood/internal/quota/quotapb"
 )
 
-// Wire returns the message in its encoded form.
+// Wire returns the message as a protobuf message.
 func (m Message) Wire() *quotapb.Message {
 	out := &quotapb.Message{From: m.From}
 	for _, part := range m.Teams {
@@ -32,8 +32,7 @@
 	return out
 }
 
-// FromWire returns a message from its encoded form. It leaves out teams with negative amounts: they are
-// invalid.
+// FromWire converts a protobuf message to a Message. It omits teams with negative amounts, which are invalid.
 func FromWire(encoded *quotapb.Message) Message {
 	message := Message{From: encoded.GetFrom()}
 	for _, part := range encoded.GetTeams() {
@@ -51,10 +50,10 @@
 	return message
 }
 
-// Handler answers a message. It returns nil if this controller does not lead its region.
+// Handler returns the reply to a message, or nil if this controller is not the leader of its region.
 type Handler func(*quotapb.Message) *quotapb.Message
 
-// Register serves the messages of the other regions on a gRPC server.
+// Register registers the service that receives the messages of other regions on a gRPC server.
 func Register(s grpc.ServiceRegistrar, handle Handler) {
 	quotapb.RegisterRegionsServer(s, &server{handle: handle})
 }
@@ -65,7 +64,8 @@
 	handle Handler
 }
 
-// Exchange answers one message; codes.Unavailable tells the sender to try another controller.
+// Exchange replies to one message. It returns codes.Unavailable if this controller is not the leader; the
+// sender then tries another controller.
 func (s *server) Exchange(_ context.Context, message *quotapb.Message) (*quotapb.Message, error) {
 	if reply := s.handle(message); reply != nil {
 		return reply, nil
@@ -73,15 +73,15 @@
 	return nil, status.Error(codes.Unavailable, "not the leader of this region")
 }
 
-// Client is a connection to one controller of another region. It reconnects by itself and is safe for
+// Client is a connection to one controller of another region. It reconnects automatically and is safe for
 // concurrent use.
 type Client struct {
 	conn    *grpc.ClientConn
 	timeout time.Duration
 }
 
-// Dial returns a client of the controller at an address. It connects at the first message; the timeout
-// bounds each exchange.
+// Dial returns a client for the controller at an address. It connects when the first message is sent. The
+// timeout applies to each exchange.
 func Dial(addr string, timeout time.Duration) (*Client, error) {
 	conn, err := grpc.NewClient("passthrough:///"+addr,
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
