--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -1,6 +1,6 @@
-// Package peers is the transport between controllers: the leader's rounds, and operators' requests
-// that another controller passes on, over gRPC. It decides nothing of what is in them, and repeats
-// no call.
+// Package peers is the gRPC transport between controllers. It carries the leader's rounds, and
+// operators' requests that one controller forwards to another. It does not interpret their
+// contents and does not retry calls.
 package peers
 
 import (
@@ -19,22 +19,22 @@
 	"github.com/marlwood/marlwood/internal/peers/peerspb"
 )
 
-// Formats of stored records: each version reads all up to its own.
+// Formats of stored records. A version reads all formats up to its own RecordFormat.
 const (
-	ShardedBitmaps = 1 // task completion bitmaps of large arrays in shards
-	MachineGroups  = 2 // one record for many machines
+	ShardedBitmaps = 1 // task completion bitmaps of large arrays are stored in shards
+	MachineGroups  = 2 // one record holds many machines
 )
 
-// RecordFormat is the highest format of stored records that this version reads; a leader
-// writes only what every controller reads.
+// RecordFormat is the highest format of stored records that this version reads. A leader
+// writes only formats that every controller reads.
 const RecordFormat = MachineGroups
 
 const (
-	bufferBytes          = 8 << 10 // of a connection, each way
-	maxConcurrentStreams = 16      // of a connection that we accepted
+	bufferBytes          = 8 << 10 // size of a connection's read buffer and of its write buffer
+	maxConcurrentStreams = 16      // per accepted connection
 )
 
-// Reconnection of a link.
+// Backoff and timeout of a Link's reconnections.
 const (
 	minReconnectDelay = 200 * time.Millisecond
 	maxReconnectDelay = time.Second
@@ -43,9 +43,9 @@
 	connectTimeout    = time.Second
 )
 
-// Serve answers rounds on addr with handle until stop is called. If handle returns nil the
-// round is refused: the caller gets an error. registerOthers adds what else is served
-// there; it may be nil.
+// Serve serves rounds on addr with handle until stop is called. If handle returns nil, the
+// round is refused with an error. registerOthers registers further services on the same
+// server; it may be nil.
 func Serve(
 	addr string,
 	handle func(*peerspb.RoundRequest) *peerspb.RoundResponse,
@@ -73,7 +73,7 @@
 	handle func(*peerspb.RoundRequest) *peerspb.RoundResponse
 }
 
-// Round hands one round of the leader to the handler.
+// Round passes one round of the leader to the handler.
 func (s *server) Round(_ context.Context, request *peerspb.RoundRequest) (*peerspb.RoundResponse, error) {
 	if response := s.handle(request); response != nil {
 		return response, nil
@@ -81,14 +81,14 @@
 	return nil, status.Error(codes.Unavailable, "not ready for rounds")
 }
 
-// Link is a connection to one peer; it reconnects by itself.
+// Link is a connection to one peer. It reconnects automatically.
 type Link struct {
 	client  peerspb.PeersClient
 	conn    *grpc.ClientConn
 	timeout time.Duration
 }
 
-// Dial makes a link whose rounds take timeout at most. Nothing is sent before the first call.
+// Dial returns a link whose rounds time out after timeout. It connects at the first call.
 func Dial(addr string, timeout time.Duration) (*Link, error) {
 	conn, err := grpc.NewClient("passthrough:///"+addr,
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
@@ -110,23 +110,23 @@
 	return &Link{client: peerspb.NewPeersClient(conn), conn: conn, timeout: timeout}, nil
 }
 
-// Round sends one round and waits for its response, no longer than the link's timeout.
+// Round sends one round and waits for its response, at most for the link's timeout.
 func (l *Link) Round(ctx context.Context, request *peerspb.RoundRequest) (*peerspb.RoundResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, l.timeout)
 	defer cancel()
 	return l.client.Round(ctx, request)
 }
 
-// Forward passes an operator's request on and waits for the reply as long as ctx says.
+// Forward forwards an operator's request and waits for the reply until ctx is done.
 func (l *Link) Forward(ctx context.Context, request *operatorspb.Request) (*operatorspb.Reply, error) {
 	return operatorspb.NewRelayClient(l.conn).Pass(ctx, request)
 }
 
-// CheckSettings asks whether the peer could adopt settings; the problem is empty if it could.
+// CheckSettings asks whether the peer could apply the settings in text. If it could, problem is empty.
 func (l *Link) CheckSettings(ctx context.Context, text string) (problem string, err error) {
 	reply, err := operatorspb.NewRelayClient(l.conn).Check(ctx, &operatorspb.CompareRequest{Text: text})
 	return reply.GetProblem(), err
 }
 
-// Close closes the connection; calls in flight fail.
+// Close closes the connection. Calls in flight fail.
 func (l *Link) Close() error { return l.conn.Close() }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -9,7 +9,8 @@
 	"github.com/marlwood/marlwood/internal/peers/peerspb"
 )
 
-// readRecorded reads a message of the version in production.
+// readRecorded decodes a recorded message of the version in production and fails the test if
+// it has unknown fields.
 func readRecorded(t *testing.T, name string, message proto.Message) {
 	t.Helper()
 	encoded, err := os.ReadFile("testdata/" + name)
@@ -20,14 +21,14 @@
 		t.Fatal(err)
 	}
 	if len(message.ProtoReflect().GetUnknown()) > 0 {
-		t.Errorf("%s: fields got lost", name)
+		t.Errorf("%s: the decoded message has unknown fields", name)
 	}
 }
 
-// Messages as the version in production wrote them are read to the last field;
-// that version does not name the format of stored records that it reads, which
-// means the first. Made by marshalling that version's own messages.
-func TestProductionMessages(t *testing.T) {
+// Messages of the version in production are decoded without unknown fields. That version
+// does not set the format of stored records that it reads, which means the first format.
+// The recorded messages were made by marshalling that version's own messages.
+func TestDecodeProductionMessages(t *testing.T) {
 	var request peerspb.RoundRequest
 	readRecorded(t, "request.pb", &request)
 	order := request.Orders[0]
