--- a/internal/loopback/reservation.go
+++ b/internal/loopback/reservation.go
@@ -1,11 +1,11 @@
 // Package loopback reserves ports of the loopback interface for processes that will listen on them later.
 //
-// A port that was found free and given back may be another program's before the process listens on it: the system
-// gives free ports to outgoing connections and to listeners that ask for any.
+// Finding a free port and releasing it again is not enough: another program may get the port before the process
+// listens on it, because the system assigns free ports to outgoing connections and to listeners on port 0.
 package loopback
 
-// Reservation is a port that the system gives to nobody else. A process that sets SO_REUSEADDR, as listeners of Go do,
-// can listen on it meanwhile, and again after it has ended.
+// Reservation is a port that the system assigns to no other program. While it is held, a process that sets
+// SO_REUSEADDR, as Go's listeners do, can listen on the port, and can do so again after a restart.
 type Reservation struct {
 	addr  string
 	close func() error
@@ -14,5 +14,5 @@
 // Addr returns the reserved address.
 func (r *Reservation) Addr() string { return r.addr }
 
-// Close gives the port back.
+// Close releases the port.
 func (r *Reservation) Close() error { return r.close() }
--- a/internal/loopback/reservation_test.go
+++ b/internal/loopback/reservation_test.go
@@ -6,10 +6,11 @@
 	"testing"
 )
 
-// On a reserved port somebody can listen, one after the other, and nobody else gets it.
+// A reserved port cannot be reserved again, but listeners can use it one after the other. It can be shared while
+// nothing listens on it, and reserved again once all reservations are closed.
 func TestReserve(t *testing.T) {
 	if runtime.GOOS != "linux" {
-		t.Skip("ports are kept on Linux only")
+		t.Skip("ports are reserved on Linux only")
 	}
 	reservation, err := Reserve(0)
 	if err != nil {
@@ -20,20 +21,20 @@
 		t.Fatal(err)
 	}
 	if other, err := Reserve(addr.Port); err == nil {
-		t.Error("it is reserved twice")
+		t.Error("the port was reserved twice")
 		_ = other.Close()
 	}
 	shared, err := Share(addr.Port)
 	if err != nil {
-		t.Fatalf("it is not shared: %v", err)
+		t.Fatalf("sharing a reserved port: %v", err)
 	}
 	for range 2 {
 		listener, err := net.Listen("tcp4", reservation.Addr())
 		if err != nil {
-			t.Fatalf("nobody can listen on it: %v", err)
+			t.Fatalf("listening on a reserved port: %v", err)
 		}
 		if other, err := Share(addr.Port); err == nil {
-			t.Error("it is shared while somebody listens")
+			t.Error("the port was shared while a listener was open")
 			_ = other.Close()
 		}
 		_ = listener.Close()
@@ -45,7 +46,7 @@
 	}
 	again, err := Reserve(addr.Port)
 	if err != nil {
-		t.Fatalf("it is kept although it was given back: %v", err)
+		t.Fatalf("the port is still reserved after Close: %v", err)
 	}
 	_ = again.Close()
 }
--- a/internal/loopback/reserve_linux.go
+++ b/internal/loopback/reserve_linux.go
@@ -7,14 +7,14 @@
 	"syscall"
 )
 
-// Reserve reserves a port that nothing uses; 0: any.
+// Reserve reserves an unused port. Port 0 reserves any free port.
 func Reserve(port int) (*Reservation, error) { return reserve(port, false) }
 
-// Share reserves a port on which nothing listens, although it may be reserved already.
+// Share reserves a port that has no listener. The port may already be reserved.
 func Share(port int) (*Reservation, error) { return reserve(port, true) }
 
-// reserve binds a socket that doesn't listen. Bound without SO_REUSEADDR the port is nobody else's; with it, set
-// before or after, others may listen on it.
+// reserve binds a socket that doesn't listen. Binding without SO_REUSEADDR fails if another socket is bound to the
+// port. Setting the option, before or after the bind, allows others to listen on the port.
 func reserve(port int, shared bool) (*Reservation, error) {
 	socket, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
--- a/internal/loopback/reserve_other.go
+++ b/internal/loopback/reserve_other.go
@@ -7,7 +7,8 @@
 	"net"
 )
 
-// Reserve finds a port that nothing listens on; 0: any. It is not kept from others here.
+// Reserve finds a port that has no listener. Port 0 finds any free port. On this system the port is not reserved:
+// another program may take it.
 func Reserve(port int) (*Reservation, error) {
 	listener, err := net.Listen("tcp4", fmt.Sprintf("127.0.0.1:%d", port))
 	if err != nil {
--- a/internal/store/budgets.go
+++ b/internal/store/budgets.go
@@ -11,7 +11,7 @@
 
 // errBudgetExhausted is the cause of ErrRefused for a low-priority transaction that found no capacity in
 // its budget.
-var errBudgetExhausted = errors.New("nothing left of the budget")
+var errBudgetExhausted = errors.New("write budget exhausted")
 
 // Names of the budgets, as ObserveWait reports them.
 const (
@@ -20,7 +20,7 @@
 	leaderBudget = "leader"
 )
 
-// The budgets of a new client, until SetBudgets is called.
+// The budgets of a new client until SetBudgets is called, and the smallest burst of requests.
 const (
 	initialCallRate   = 10
 	initialCallBurst  = 10
@@ -31,10 +31,10 @@
 
 // Budgets bound the requests and writes a second that this client allows itself.
 type Budgets struct {
-	Calls        float64 // requests of any sort
+	Calls        float64 // all requests
 	UserWrites   float64 // writes on behalf of users
 	LeaderWrites float64 // writes of the leader's own records
-	Burst        int     // writes at once, of each of the two
+	Burst        int     // burst size of each of the two write budgets
 }
 
 // SetBudgets replaces the budgets. It may be called at any time.
@@ -57,18 +57,19 @@
 // urgentKey is the context key that Urgent sets.
 type urgentKey struct{}
 
-// Urgent marks the calls that leader election depends on: they wait for no budget and use connections of
-// their own. Their own poll interval bounds their rate.
+// Urgent marks the calls that leader election depends on. They do not wait for a budget and use separate
+// connections. The election's poll interval bounds their rate.
 //
-// Guard: without it, reads of the leader key wait in line with users' queries, and attempts to write it
-// with users' writes. Users who queried a leader for jobs that nobody had submitted deposed it; with a
-// slow store the twelve shared connections were always taken. TestUrgentGoesFirst shows both.
+// Guard: without the mark, reads of the leader key queue behind users' queries, and attempts to write it queue
+// behind users' writes. Users who queried a leader for jobs that nobody had submitted made it lose its
+// leadership; with a slow store the twelve shared connections were always in use. TestUrgentCallsAreNotDelayed
+// covers both cases.
 func Urgent(ctx context.Context) context.Context { return context.WithValue(ctx, urgentKey{}, true) }
 
 func isUrgent(ctx context.Context) bool { return ctx.Value(urgentKey{}) != nil }
 
-// waitForBudget takes tokens from a budget as soon as it has them. It fails at once if they cannot become
-// available before the context's deadline.
+// waitForBudget waits until a budget has enough tokens and takes them. It fails immediately if they cannot become
+// available before the context's deadline. Urgent calls take no tokens.
 func (c *Client) waitForBudget(ctx context.Context, budget string, limiter *rate.Limiter, tokens int) error {
 	if isUrgent(ctx) {
 		return nil
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -41,10 +41,10 @@
 	userWriteLimiter   *rate.Limiter
 	leaderWriteLimiter *rate.Limiter
 	timeout            time.Duration
-	observeWait        func(budget string, d time.Duration) // nil: nobody observes
+	observeWait        func(budget string, d time.Duration) // may be nil
 }
 
-// New returns a client of the store at an address. The timeout bounds each request, including its wait
+// New returns a client of the store at addr. The timeout bounds each request, including its wait
 // for a budget. The budgets are small until SetBudgets is called.
 func New(addr string, timeout time.Duration) *Client {
 	limits := httpwire.Limits{Head: maxHeadBytes, Body: maxBodyBytes}
@@ -69,8 +69,8 @@
 	return c.send(ctx, c.httpClient, method, target, body)
 }
 
-// send sends one request over the given connections, and sorts out whether a failed one may have been
-// executed. Statuses other than 429 and 503 are left to the caller.
+// send sends one request over the given connections. Its error is ErrRefused if the request was certainly not
+// executed and ErrUnknown if it may have been. The caller handles all statuses other than 429 and 503.
 func (c *Client) send(ctx context.Context, httpClient *httpwire.Client, method, target string, body any) (*httpwire.Response, error) {
 	if err := c.waitForBudget(ctx, callsBudget, c.callLimiter, 1); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrRefused, err)
@@ -96,7 +96,8 @@
 	return resp, nil
 }
 
-// decode reads the body of a 200. Any other status and any malformed body count as no answer.
+// decode decodes the body of a response with status 200. It returns ErrUnknown for any other status and for a
+// malformed body.
 func decode(resp *httpwire.Response, into any) error {
 	if resp.Status != http.StatusOK {
 		return fmt.Errorf("%w: status %d: %.100s", ErrUnknown, resp.Status, resp.Body)
--- a/internal/store/client_test.go
+++ b/internal/store/client_test.go
@@ -21,8 +21,8 @@
 	return New(strings.TrimPrefix(s.URL, "http://"), timeout)
 }
 
-// Each answer of the store maps to one outcome: refused means not executed, anything unexpected means
-// that only a read can tell.
+// Each response of the store maps to one outcome. A refused request was not executed; after an unexpected response
+// the request may have been executed, and only a read can show it.
 func TestOutcomes(t *testing.T) {
 	txn := Txn{Preconditions: []Precondition{{Key: "a"}}, Writes: []Write{Put("a", 1)}}
 	commit := func(c *Client) error { _, err := c.Commit(context.Background(), txn); return err }
@@ -33,7 +33,7 @@
 	}
 	for _, c := range []struct {
 		name   string
-		status int // 0: the connection ends without an answer
+		status int // 0: the connection ends without a response
 		body   string
 		call   func(c *Client) error
 		want   error
@@ -44,12 +44,12 @@
 		{"over budget", 429, `{}`, commit, ErrRefused},
 		{"malformed or lease expired", 400, `{"error":"no such lease"}`, commit, ErrRefused},
 		{"above the limits", 400, `{"error":"value too large"}`, commit, ErrTooLarge},
-		{"no answer", 0, ``, commit, ErrUnknown},
+		{"no response", 0, ``, commit, ErrUnknown},
 		{"malformed body", 200, `hello`, commit, ErrUnknown},
 		{"unexpected status", 500, `{}`, commit, ErrUnknown},
 		{"found", 200, `{"k":"a","value":1,"stamp":3}`, get, nil},
 		{"absent", 404, `{"ledgerRev":3}`, get, ErrNotFound},
-		{"a 404 that is not the service's", 404, `not here`, get, ErrUnknown},
+		{"404 from another server", 404, `not here`, get, ErrUnknown},
 		{"another key's value", 200, `{"k":"b","value":1,"stamp":3}`, get, ErrUnknown},
 		{"changes", 200, `{"ledgerRev":3,"news":[]}`, watch, nil},
 		{"too old", 410, `{}`, watch, ErrCompacted},
@@ -69,11 +69,11 @@
 		})
 	}
 	if _, err := New("127.0.0.1:1", time.Second).Commit(context.Background(), txn); !errors.Is(err, ErrRefused) {
-		t.Errorf("nothing listens at the address: %v", err)
+		t.Errorf("commit to an address without a listener: %v", err)
 	}
 }
 
-// A throttled transaction is sent again, and users' writes do not wait behind the leader's.
+// A throttled transaction is sent again, and an exhausted budget of the leader does not delay users' writes.
 func TestBudgets(t *testing.T) {
 	var requests atomic.Int32
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -92,14 +92,14 @@
 		t.Errorf("throttled once: %v after %d requests", err, requests.Load())
 	}
 	if _, err := c.Commit(ctx, Txn{Writes: two, LeaderBudget: true}); !errors.Is(err, ErrRefused) {
-		t.Errorf("the leader's budget is spent: %v", err)
+		t.Errorf("commit with the leader's budget exhausted: %v", err)
 	}
 	if _, err := c.Commit(ctx, Txn{Writes: two}); err != nil {
-		t.Errorf("users' writes wait behind the leader's: %v", err)
+		t.Errorf("users' write with the leader's budget exhausted: %v", err)
 	}
 }
 
-// Against the stand-in store: preconditions, pages, leases and watches.
+// Exercises preconditions, pages, leases and watches against the stand-in store.
 func TestAgainstStandIn(t *testing.T) {
 	ctx := context.Background()
 	s := standin.NewState()
@@ -125,7 +125,7 @@
 	checkWatch(ctx, t, c, revision)
 }
 
-// checkPrecondition reads a key and fails to delete it under another revision.
+// checkPrecondition checks that a key is readable and that deleting it with a wrong revision fails.
 func checkPrecondition(ctx context.Context, t *testing.T, c *Client) {
 	t.Helper()
 	item, err := c.Get(ctx, "p/a")
@@ -135,11 +135,11 @@
 	wrong := Precondition{Key: "p/a", Revision: item.Revision + 1}
 	out, err := c.Commit(ctx, Txn{Preconditions: []Precondition{wrong}, Writes: []Write{Delete("p/a")}})
 	if err != nil || out.Succeeded() {
-		t.Errorf("a wrong precondition held: %v, %v", out, err)
+		t.Errorf("deletion with a wrong revision succeeded: %v, %v", out, err)
 	}
 }
 
-// checkLease keeps a lease alive, and fails to do so with one that does not exist.
+// checkLease checks that a lease can be kept alive and that an unknown lease cannot.
 func checkLease(ctx context.Context, t *testing.T, c *Client) {
 	t.Helper()
 	lease, err := c.GrantLease(ctx, time.Minute)
@@ -148,7 +148,7 @@
 	}
 }
 
-// checkWatch sees a deletion under the watched prefix and nothing else.
+// checkWatch checks that a watch returns a deletion under its prefix and no other change.
 func checkWatch(ctx context.Context, t *testing.T, c *Client, revision uint64) {
 	t.Helper()
 	if _, err := c.Commit(ctx, Txn{Writes: []Write{Put("q/1", 1), Delete("p/a")}}); err != nil {
@@ -160,9 +160,10 @@
 	}
 }
 
-// The calls that leader election depends on wait neither for users' requests nor for the leader's writes,
-// however many there are and however slow the store is; without the mark they would.
-func TestUrgentGoesFirst(t *testing.T) {
+// The calls that leader election depends on are marked urgent. They must not be delayed by users' requests or by the
+// leader's writes, however many there are and however slow the store is. The test also checks that calls without
+// the mark are delayed.
+func TestUrgentCallsAreNotDelayed(t *testing.T) {
 	get := func(ctx context.Context, c *Client) error { _, err := c.Get(ctx, "a"); return err }
 	commit := func(ctx context.Context, c *Client) error {
 		_, err := c.Commit(ctx, Txn{Writes: []Write{Put("a", 1)}})
@@ -174,8 +175,8 @@
 		budget  Budgets
 		call    func(ctx context.Context, c *Client) error
 	}{
-		{"reads, budget of requests spent", 0, Budgets{Calls: 10, UserWrites: 1e6, LeaderWrites: 1e6, Burst: 16}, get},
-		{"writes, budget of writes spent", 0, Budgets{Calls: 1e6, UserWrites: 5, LeaderWrites: 5, Burst: 16}, commit},
+		{"reads, request budget exhausted", 0, Budgets{Calls: 10, UserWrites: 1e6, LeaderWrites: 1e6, Burst: 16}, get},
+		{"writes, write budget exhausted", 0, Budgets{Calls: 1e6, UserWrites: 5, LeaderWrites: 5, Burst: 16}, commit},
 		{"all connections in use", 500 * time.Millisecond, Budgets{Calls: 1e6, UserWrites: 1e6, LeaderWrites: 1e6, Burst: 16}, get},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -201,11 +202,11 @@
 			time.Sleep(300 * time.Millisecond)
 			sent := time.Now()
 			if err := c.call(Urgent(context.Background()), client); err != nil || time.Since(sent) > c.latency+500*time.Millisecond {
-				t.Errorf("urgent: %v after %v", err, time.Since(sent))
+				t.Errorf("urgent call: %v after %v", err, time.Since(sent))
 			}
 			sent = time.Now()
 			if err := c.call(context.Background(), client); err == nil && time.Since(sent) < c.latency+500*time.Millisecond {
-				t.Errorf("unmarked calls are answered after %v too: the test shows nothing", time.Since(sent))
+				t.Errorf("a call without the mark took only %v: the test does not show that the mark matters", time.Since(sent))
 			}
 			stop()
 			group.Wait()
@@ -213,9 +214,9 @@
 	}
 }
 
-// A low-priority transaction is refused at once while others wait for the budget, and takes nothing from
-// them; with capacity left it is sent.
-func TestSpareGoesLast(t *testing.T) {
+// A low-priority transaction is sent if its budget has capacity. While other transactions wait for the budget, it is
+// refused immediately and does not delay them.
+func TestLowPriorityTxnIsRefusedWhileOthersWait(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = w.Write([]byte(`{"ledgerRev":2}`))
 	}))
@@ -227,7 +228,7 @@
 	low := normal
 	low.LowPriority = true
 	if _, err := c.Commit(ctx, low); err != nil {
-		t.Errorf("with capacity left: %v", err)
+		t.Errorf("low priority with capacity left: %v", err)
 	}
 	var group sync.WaitGroup
 	for range 25 { // nine go at once, the others within 1.6 s
@@ -241,25 +242,25 @@
 	for range 20 {
 		sent := time.Now()
 		if _, err := c.Commit(ctx, low); !errors.Is(err, ErrRefused) || time.Since(sent) > 100*time.Millisecond {
-			t.Errorf("while others wait: %v after %v", err, time.Since(sent))
+			t.Errorf("low priority while others wait: %v after %v", err, time.Since(sent))
 		}
 	}
 	group.Wait()
 }
 
-// A page of a listing that gets no answer in time is requested again, not the whole listing; a page that
-// is refused, or never comes, fails the listing.
-func TestListOfASlowService(t *testing.T) {
+// When a page of a listing gets no response in time, only that page is requested again. The listing fails if a page
+// is refused or never arrives.
+func TestListRetriesLatePages(t *testing.T) {
 	for _, c := range []struct {
 		name     string
-		late     int // the first answers to each page come too late
+		late     int // number of late responses per page
 		status   int
 		want     error
 		requests int
 	}{
-		{"two of three answers too late", 2, 200, nil, 9},
-		{"no answer in time", 99, 200, ErrUnknown, pageAttempts},
-		{"an outage", 0, 503, ErrRefused, 1},
+		{"two of three responses late", 2, 200, nil, 9},
+		{"no response in time", 99, 200, ErrUnknown, pageAttempts},
+		{"store outage", 0, 503, ErrRefused, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -283,7 +284,7 @@
 			client := newClient(s, 100*time.Millisecond)
 			client.SetBudgets(Budgets{Calls: 1e6, UserWrites: 1, LeaderWrites: 1, Burst: 1})
 			items, revision, err := client.List(context.Background(), "p")
-			lock.Lock() // a late answer may be under way yet
+			lock.Lock() // a late response may still be in progress
 			defer lock.Unlock()
 			if !errors.Is(err, c.want) || (err == nil) != (c.want == nil) || total != c.requests {
 				t.Errorf("%v after %d requests, want %v after %d", err, total, c.want, c.requests)
--- a/internal/store/read.go
+++ b/internal/store/read.go
@@ -14,7 +14,7 @@
 
 const (
 	pageSize     = 1000 // most items on a page of a listing
-	pageAttempts = 6    // most requests for a page that gets no answer in time
+	pageAttempts = 6    // most requests for a page whose outcome is unknown, such as after a timeout
 )
 
 // page is one page of a listing.
@@ -24,7 +24,7 @@
 	Revision uint64 `json:"ledgerRev"`
 }
 
-// changes is the answer to a watch.
+// changes is the response to a watch.
 type changes struct {
 	Revision uint64  `json:"ledgerRev"`
 	Events   []Event `json:"news"`
@@ -50,25 +50,24 @@
 	return item, nil
 }
 
-// absentItem reads a 404. Only the store's own counts, which names the revision: a proxy's says nothing
-// about the key.
+// absentItem decodes a 404 response. Only a response with a revision is the store's own; a 404 from a proxy does
+// not prove that the key is absent.
 func absentItem(key string, resp *httpwire.Response) (Item, error) {
 	var body struct {
 		Revision *uint64 `json:"ledgerRev"`
 	}
 	if json.Unmarshal(resp.Body, &body) != nil || body.Revision == nil {
-		return Item{}, fmt.Errorf("%w: odd 404", ErrUnknown)
+		return Item{}, fmt.Errorf("%w: 404 without a revision", ErrUnknown)
 	}
 	return Item{Key: key, Revision: *body.Revision}, ErrNotFound
 }
 
-// List reads every key with a prefix. The revision is that of the first page: a watch from it misses
-// nothing.
+// List reads every key with a prefix. The returned revision is that of the first page, so a watch from it misses
+// no change.
 //
-// Guard: each page is retried on its own. When one page that came too late failed the whole listing, and
-// answers took up to three seconds, no listing of thousands of jobs ever completed: a restarted
-// controller knew none of them, and no new leader could begin its term, for as long as that lasted.
-// TestListOfASlowService shows it.
+// Guard: each page is retried separately. When one late page failed the whole listing, and responses took up to
+// three seconds, no listing of thousands of jobs ever completed. For as long as that lasted, a restarted
+// controller knew none of the jobs, and no new leader could begin its term. TestListRetriesLatePages covers it.
 func (c *Client) List(ctx context.Context, prefix string) ([]Item, uint64, error) {
 	var items []Item
 	var revision uint64
@@ -89,7 +88,7 @@
 	}
 }
 
-// listPage reads the page of a listing that follows lastKey, or the first one if that is empty.
+// listPage reads the page of a listing that follows lastKey, or the first page if lastKey is empty.
 func (c *Client) listPage(ctx context.Context, prefix, lastKey string) (page, error) {
 	target := fmt.Sprintf("/kv?starts=%s&most=%d", url.QueryEscape(prefix), pageSize)
 	if lastKey != "" {
@@ -108,8 +107,9 @@
 	return read, err
 }
 
-// Watch waits for changes under a prefix after a revision, for as long as wait. It returns the changes in
-// the order of their revisions, and the revision to watch from next.
+// Watch waits up to the given duration for changes under a prefix after a revision. It returns the changes in
+// the order of their revisions, and the revision to watch from next. It returns ErrCompacted if the store no longer
+// has the changes.
 func (c *Client) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) ([]Event, uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+c.timeout)
 	defer cancel()
--- a/internal/store/txn.go
+++ b/internal/store/txn.go
@@ -12,18 +12,17 @@
 	"github.com/marlwood/marlwood/internal/httpwire"
 )
 
-// throttledPause is the least pause before a throttled transaction is sent again; the longest is twice
-// that.
+// throttledPause is the shortest pause before a throttled transaction is sent again. The longest is twice as long.
 const throttledPause = 100 * time.Millisecond
 
-// unnamedPrecondition stands for the failed precondition of a conflict whose answer names none.
+// unnamedPrecondition is the failed precondition of a conflict whose response names none.
 const unnamedPrecondition = "?"
 
-// Commit executes a transaction. Without an error the store decided on it, and the result tells whether
-// its preconditions held.
+// Commit executes a transaction. If it returns no error, the store decided on the transaction and the result
+// reports whether its preconditions held.
 //
-// The budgets of all clients add up to more than the store accepts, for they seldom peak together; so a
-// throttled transaction is sent again until the timeout.
+// The budgets of all clients add up to more than the store accepts, because clients seldom peak together. Commit
+// therefore retries a throttled transaction until the timeout.
 func (c *Client) Commit(ctx context.Context, txn Txn) (TxnResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
@@ -64,8 +63,8 @@
 	return TxnResult{}, fmt.Errorf("%w: status %d", ErrUnknown, resp.Status)
 }
 
-// decodeTxnResult reads the answer to a transaction that the store decided on. A conflict never counts
-// as success, whatever its body says.
+// decodeTxnResult decodes the response to a transaction that the store decided on. A conflict never counts as
+// success, whatever its body contains.
 func decodeTxnResult(resp *httpwire.Response) (TxnResult, error) {
 	var result TxnResult
 	if err := json.Unmarshal(resp.Body, &result); err != nil {
@@ -77,8 +76,8 @@
 	return result, nil
 }
 
-// badTxnError explains a 400. A transaction that attaches a key to a lease may have been refused because
-// the lease has expired, so only one without counts as too large.
+// badTxnError returns the error for a 400 response. A transaction that attaches a key to a lease may have been
+// refused because the lease has expired, so only a transaction without a lease counts as too large.
 func badTxnError(txn Txn, resp *httpwire.Response) error {
 	for _, write := range txn.Writes {
 		if write.Lease != 0 {
--- a/internal/store/types.go
+++ b/internal/store/types.go
@@ -7,18 +7,18 @@
 	"slices"
 )
 
-// The errors that a call can end with. A caller distinguishes them with errors.Is: they come wrapped
-// together with their cause.
+// The errors that a call can return. They are wrapped together with their cause, so callers distinguish them with
+// errors.Is.
 var (
 	// ErrNotFound reports that the key was absent at the revision that Get returns.
 	ErrNotFound = errors.New("store: no such key")
 	// ErrRefused reports that the request was certainly not executed: the store answered 429 or 503, or
 	// the request was never sent.
 	ErrRefused = errors.New("store: refused, not executed")
-	// ErrUnknown reports that the request may or may not have been executed, now or later: only a read
-	// can tell.
+	// ErrUnknown reports that the request may already have been executed, may be executed later, or may never be:
+	// only a read can show which.
 	ErrUnknown = errors.New("store: no answer, may be executed")
-	// ErrCompacted reports that the store no longer has the changes after the revision asked for: the
+	// ErrCompacted reports that the store no longer has the changes after the requested revision: the
 	// prefix must be listed again.
 	ErrCompacted = errors.New("store: revision too old")
 	// ErrLeaseNotFound reports that the lease has expired or never existed.
