--- a/internal/operators/answers_test.go
+++ b/internal/operators/answers_test.go
@@ -12,13 +12,14 @@
 	"github.com/marlwood/marlwood/internal/operators/operatorspb"
 )
 
-// An operator is told what a controller answered, also when another controller does not run.
+// The client must return the error that a controller responded with, even if another controller does not run.
 //
-// The client tries the controllers in random order and told the last error. When that was a refused connection, the
-// leader's answer was lost: "drain --zone b" while the state service was out told "connection error: ... connect:
-// connection refused", and not "nothing was recorded: the state service does not answer", which the leader's log had
-// as its answer in the same second (TestDrainScript, line 29, while a controller that was killed starts).
-func TestAnswersGoBeforeConnectionErrors(t *testing.T) {
+// The client tries the controllers in random order and used to return the last error. When that was a refused
+// connection, the leader's response was lost: during an outage of the state service, "drain --zone b" printed
+// "connection error: ... connect: connection refused" instead of "nothing was recorded: the state service does not
+// answer", which the leader logged as its response in the same second (TestDrainScript, line 29, while a killed
+// controller restarts).
+func TestControllerErrorPrecedesConnectionErrors(t *testing.T) {
 	const answer = "nothing was recorded: the state service does not answer"
 	got := make(chan string, 1)
 	stop, err := Serve(Options{Listen: "127.0.0.1:0", Plaintext: true, Log: slog.New(&addrHandler{Handler: slog.DiscardHandler, addr: got}),
@@ -36,7 +37,7 @@
 	}
 	down := closed.Addr().String()
 	_ = closed.Close()
-	for range 20 { // the order is drawn
+	for range 20 { // the client's order is random
 		client, err := NewClient([]string{down, up, down}, "", "", "")
 		if err != nil {
 			t.Fatal(err)
@@ -46,7 +47,7 @@
 		})
 		client.Close()
 		if status.Code(err) != codes.Unavailable || status.Convert(err).Message() != answer {
-			t.Fatalf("told %v", err)
+			t.Fatalf("got %v, want the error of the controller that runs", err)
 		}
 	}
 	client, err := NewClient([]string{down}, "", "", "")
@@ -58,6 +59,6 @@
 		return s.Status(ctx, &operatorspb.StatusRequest{})
 	})
 	if status.Code(err) != codes.Unavailable {
-		t.Errorf("no controller runs: %v", err)
+		t.Errorf("query while no controller runs: %v", err)
 	}
 }
--- a/internal/operators/client.go
+++ b/internal/operators/client.go
@@ -18,14 +18,14 @@
 	"github.com/marlwood/marlwood/internal/operators/operatorspb"
 )
 
-// Client calls the controllers, one after the other until one answers. It is safe for
-// concurrent use; Close ends it.
+// Client calls the controllers one after the other until one answers. It is safe for
+// concurrent use. Close releases its connections.
 type Client struct {
 	addrs []string
 	conns []*grpc.ClientConn
 }
 
-// NewClient makes a client of the controllers at some addresses, in random order. Without
+// NewClient returns a client that calls the controllers at addrs in random order. Without
 // certificate files it uses plaintext, which is allowed for loopback addresses only.
 func NewClient(addrs []string, ca, cert, key string) (*Client, error) {
 	creds := insecure.NewCredentials()
@@ -65,15 +65,15 @@
 // called.
 const queryTimeout = 5 * time.Second
 
-// A request that all controllers reject as too many is retried after a delay.
+// A request that exceeds the rate limit of every controller is retried after a delay.
 const (
 	overloadDelay    = time.Second
 	overloadAttempts = 5
 )
 
-// Try calls one controller after the other until one returns an answer, or an error that
-// another would repeat. change tells that the request changes something: no other controller
-// is called once one may have executed it.
+// Try calls one controller after the other until one returns a response, or an error other than
+// an unavailable or overloaded controller or a timeout. change marks a request that changes something:
+// after a controller may have executed it, no other is called.
 func Try[T any](ctx context.Context, c *Client, change bool, do func(ctx context.Context, s operatorspb.OperatorsClient) (T, error)) (out T, err error) {
 	for range overloadAttempts {
 		if out, err = tryOnce(ctx, c, change, do); status.Code(err) != codes.ResourceExhausted {
@@ -88,10 +88,11 @@
 	return out, err
 }
 
-// tryOnce calls each controller at most once. If none is of use, it returns the last error that a controller answered
-// with, or else the last one of a connection.
+// tryOnce calls each controller at most once. If all calls fail, it returns the last error that came from a connected
+// controller, or else the last connection error.
 //
-// Guard: a controller that does not run hid what the leader had answered (TestAnswersGoBeforeConnectionErrors).
+// Guard: otherwise the connection error of a controller that does not run hides the leader's response
+// (TestControllerErrorPrecedesConnectionErrors).
 func tryOnce[T any](ctx context.Context, c *Client, change bool, do func(ctx context.Context, s operatorspb.OperatorsClient) (T, error)) (out T, err error) {
 	var answered error
 	for i, conn := range c.conns {
--- a/internal/operators/keys.go
+++ b/internal/operators/keys.go
@@ -19,10 +19,10 @@
 	"time"
 )
 
-// The roles that a certificate gives, in its subject's organizational unit.
+// The roles of certificates, stored in the subject's organizational unit.
 const (
 	Viewer   = "viewer"   // may query
-	Operator = "operator" // may change things as well
+	Operator = "operator" // may also make changes
 	NodeRole = "node"     // a controller
 )
 
@@ -38,8 +38,8 @@
 	return certificate.Subject.CommonName, role, nil
 }
 
-// Keys are a certificate authority's certificate and a certificate with its key, in PEM
-// files that are read again when they change. It is safe for concurrent use.
+// Keys holds a certificate authority's certificate, and a certificate with its key. It reads them
+// from PEM files and reloads the files when they change. It is safe for concurrent use.
 type Keys struct {
 	ca, cert, key string
 	log           *slog.Logger
@@ -52,7 +52,7 @@
 	warnedAt    time.Time
 }
 
-// How often files are checked for changes, and when and how often an expiry is warned of.
+// The interval of checks for changed files, and the time and interval of warnings before a certificate expires.
 const (
 	checkInterval    = time.Second
 	warnBeforeExpiry = 14 * 24 * time.Hour
@@ -68,7 +68,7 @@
 	return k, nil
 }
 
-// load reads the files; if one fails, none is replaced.
+// load reads the files. If one of them is unusable, all loaded certificates stay in force.
 func (k *Keys) load() error {
 	text, err := os.ReadFile(k.ca)
 	if err != nil {
@@ -89,7 +89,7 @@
 	return nil
 }
 
-// readModTimes returns the times of the last change of the three files.
+// readModTimes returns the modification times of the three files.
 func (k *Keys) readModTimes() (out [3]time.Time) {
 	for i, path := range []string{k.ca, k.cert, k.key} {
 		if info, err := os.Stat(path); err == nil {
@@ -99,8 +99,8 @@
 	return out
 }
 
-// current returns the certificates in force. Files that changed are read again; while they
-// are unusable, those read before stay in force, and that is logged.
+// current returns the certificates in force. It reloads changed files. If they are unusable, it
+// logs an error and the certificates loaded before stay in force.
 func (k *Keys) current() (*x509.CertPool, *tls.Certificate) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -109,10 +109,10 @@
 		k.checkedAt = now
 		if stamps := k.readModTimes(); stamps != k.modTimes {
 			if err := k.load(); err != nil {
-				k.log.Error("operators' keys cannot be read again; those before hold", "err", err)
-				k.modTimes = stamps // not again until they change once more
+				k.log.Error("reloading the operators' keys failed; the previous keys stay in force", "err", err)
+				k.modTimes = stamps // no retry until they change once more
 			} else {
-				k.log.Info("operators' keys were read again", "cert", k.cert, "until", k.certificate.Leaf.NotAfter)
+				k.log.Info("operators' keys reloaded", "cert", k.cert, "until", k.certificate.Leaf.NotAfter)
 			}
 		}
 		if left := k.certificate.Leaf.NotAfter.Sub(now); left < warnBeforeExpiry && now.Sub(k.warnedAt) >= warnInterval {
@@ -123,8 +123,8 @@
 	return k.authorities, k.certificate
 }
 
-// Server is the TLS configuration of a controller: clients must present a certificate of the
-// authority.
+// Server returns the TLS configuration of a controller. Clients must present a certificate that
+// the authority signed.
 func (k *Keys) Server() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -141,8 +141,8 @@
 	}
 }
 
-// Client is the TLS configuration of an operator: the server's certificate must be of the
-// authority and have the role node, whatever its address is.
+// Client returns the TLS configuration of an operator. The server's certificate must be signed by
+// the authority and have the role node; its address is not checked.
 //
 // Guard: a certificate of the same authority that was made for a person must not be accepted
 // as a controller's (TestRoles).
@@ -151,7 +151,7 @@
 	return &tls.Config{
 		MinVersion:         tls.VersionTLS13,
 		Certificates:       []tls.Certificate{*pair},
-		InsecureSkipVerify: true, // VerifyConnection does it, without the address
+		InsecureSkipVerify: true, // VerifyConnection verifies the certificate but not the address
 		VerifyConnection:   func(state tls.ConnectionState) error { return verifyController(state, pool) },
 	}
 }
@@ -177,7 +177,7 @@
 	return nil
 }
 
-// ErrExists tells that a file would be overwritten.
+// ErrExists reports that a file would be overwritten.
 var ErrExists = errors.New("is there already")
 
 // Names of the authority's files in a directory of keys; other files are named after their
@@ -187,8 +187,8 @@
 	caKey  = "ca-key.pem"
 )
 
-// MakeCA makes a certificate authority in a directory, which it creates if needed. It
-// overwrites nothing.
+// MakeCA creates a certificate authority in a directory, which it creates if needed. It does not
+// overwrite existing files.
 func MakeCA(dir, name string, validity time.Duration) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
@@ -203,8 +203,8 @@
 	return writePair(dir, "ca", certificate, certificate, &key.PublicKey, key, key)
 }
 
-// MakeKey makes a certificate and its key for a name with a role, signed by the
-// authority in the same directory. hosts are addresses and names of a controller.
+// MakeKey creates a certificate and its key for a name with a role, signed by the
+// authority in the same directory. hosts are the addresses and host names of a controller.
 func MakeKey(dir, name, role string, hosts []string, validity time.Duration) error {
 	pair, err := tls.LoadX509KeyPair(filepath.Join(dir, caCert), filepath.Join(dir, caKey))
 	if err != nil {
@@ -241,7 +241,7 @@
 	return writePair(dir, name, certificate, authority, &key.PublicKey, signer, key)
 }
 
-// certificateTemplate is a certificate for a name with a role, without its usage.
+// certificateTemplate returns a certificate for a name with a role, with no key usage set.
 func certificateTemplate(name, role string, validity time.Duration) *x509.Certificate {
 	serial, _ := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), 120)) // never fails
 	return &x509.Certificate{SerialNumber: serial, Subject: pkix.Name{CommonName: name, OrganizationalUnit: []string{role}},
--- a/internal/operators/operators_test.go
+++ b/internal/operators/operators_test.go
@@ -16,8 +16,8 @@
 	"github.com/marlwood/marlwood/internal/operators/operatorspb"
 )
 
-// startServer is a server on loopback with certificates from a directory, whose answers name the
-// caller.
+// startServer starts a server on loopback with the given certificate files and returns its address. Its
+// responses contain the caller's name.
 func startServer(t *testing.T, ca, cert, key string, log *slog.Logger) string {
 	t.Helper()
 	addr := "127.0.0.1:0"
@@ -37,7 +37,7 @@
 	return <-got
 }
 
-// addrHandler catches the address that the server logs.
+// addrHandler captures the address that the server logs.
 type addrHandler struct {
 	slog.Handler
 	addr chan string
@@ -55,7 +55,7 @@
 	return h.Handler.Handle(ctx, r)
 }
 
-func askStatus(addr, ca, cert, key string) (string, error) {
+func queryStatus(addr, ca, cert, key string) (string, error) {
 	c, err := NewClient([]string{addr}, ca, cert, key)
 	if err != nil {
 		return "", err
@@ -67,7 +67,7 @@
 	return out.GetMember(), err
 }
 
-func askDrain(addr, ca, cert, key string) (string, error) {
+func requestDrain(addr, ca, cert, key string) (string, error) {
 	c, err := NewClient([]string{addr}, ca, cert, key)
 	if err != nil {
 		return "", err
@@ -79,18 +79,18 @@
 	return out.GetDrain().GetWho(), err
 }
 
-func mustMake(t *testing.T, errs ...error) {
+func mustSucceed(t *testing.T, errs ...error) {
 	t.Helper()
 	if err := errors.Join(errs...); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// Who may ask what, by certificate.
+// A certificate's authority, expiry and role decide whether its holder may query and drain.
 func TestRoles(t *testing.T) {
 	own, foreign := filepath.Join(t.TempDir(), "own"), filepath.Join(t.TempDir(), "foreign")
 	for _, dir := range []string{own, foreign} {
-		mustMake(t, MakeCA(dir, "ca", 48*time.Hour), MakeKey(dir, "node", NodeRole, []string{"127.0.0.1"}, time.Hour),
+		mustSucceed(t, MakeCA(dir, "ca", 48*time.Hour), MakeKey(dir, "node", NodeRole, []string{"127.0.0.1"}, time.Hour),
 			MakeKey(dir, "anna", Operator, nil, time.Hour), MakeKey(dir, "vito", Viewer, nil, time.Hour),
 			MakeKey(dir, "late", Operator, nil, -time.Second), MakeKey(dir, "odd", "admin", nil, time.Hour))
 	}
@@ -103,34 +103,34 @@
 		{"operator", own, own, "anna", codes.OK, codes.OK},
 		{"viewer", own, own, "vito", codes.OK, codes.PermissionDenied},
 		{"expired", own, own, "late", codes.Unavailable, codes.Unavailable},
-		{"a role that is none", own, own, "odd", codes.PermissionDenied, codes.PermissionDenied},
-		{"of another authority", own, foreign, "anna", codes.Unavailable, codes.Unavailable},
+		{"unknown role", own, own, "odd", codes.PermissionDenied, codes.PermissionDenied},
+		{"signed by another authority", own, foreign, "anna", codes.Unavailable, codes.Unavailable},
 		{"trusts another authority", foreign, own, "anna", codes.Unavailable, codes.Unavailable},
-		{"a controller's own", own, own, "node", codes.Unavailable, codes.Unavailable},
+		{"certificate of a controller", own, own, "node", codes.Unavailable, codes.Unavailable},
 	} {
-		got, err := askStatus(addr, file(c.ca, "ca"), file(c.dir, c.who), file(c.dir, c.who+"-key"))
+		got, err := queryStatus(addr, file(c.ca, "ca"), file(c.dir, c.who), file(c.dir, c.who+"-key"))
 		if status.Code(err) != c.status || (err == nil && !strings.HasPrefix(got, c.who+"/")) {
-			t.Errorf("%s: asks: %q, %v", c.name, got, err)
+			t.Errorf("%s: status query: %q, %v", c.name, got, err)
 		}
-		if _, err := askDrain(addr, file(c.ca, "ca"), file(c.dir, c.who), file(c.dir, c.who+"-key")); status.Code(err) != c.drain {
-			t.Errorf("%s: drains: %v", c.name, err)
+		if _, err := requestDrain(addr, file(c.ca, "ca"), file(c.dir, c.who), file(c.dir, c.who+"-key")); status.Code(err) != c.drain {
+			t.Errorf("%s: drain: %v", c.name, err)
 		}
 	}
-	if _, err := askStatus(addr, "", "", ""); status.Code(err) != codes.Unavailable {
-		t.Errorf("without a certificate: %v", err)
+	if _, err := queryStatus(addr, "", "", ""); status.Code(err) != codes.Unavailable {
+		t.Errorf("status query without a certificate: %v", err)
 	}
-	// A person's certificate does not stand for a controller.
-	posing := startServer(t, file(own, "ca"), file(own, "vito"), file(own, "vito-key"), slog.New(slog.DiscardHandler))
-	if _, err := askStatus(posing, file(own, "ca"), file(own, "anna"), file(own, "anna-key")); status.Code(err) != codes.Unavailable {
-		t.Errorf("a viewer stood for a controller: %v", err)
+	// A server with a person's certificate is not accepted as a controller.
+	impostorAddr := startServer(t, file(own, "ca"), file(own, "vito"), file(own, "vito-key"), slog.New(slog.DiscardHandler))
+	if _, err := queryStatus(impostorAddr, file(own, "ca"), file(own, "anna"), file(own, "anna-key")); status.Code(err) != codes.Unavailable {
+		t.Errorf("a server with a viewer's certificate was accepted as a controller: %v", err)
 	}
 }
 
-// Certificates are read again without a restart; while the files are unusable, those before stay in
-// force; one that expires soon is warned of.
-func TestKeysAgain(t *testing.T) {
+// Changed certificate files are reloaded without a restart. While the files are unusable, the previous
+// certificates stay in force. A certificate that expires soon causes a warning.
+func TestKeysAreReloaded(t *testing.T) {
 	dir := t.TempDir()
-	mustMake(t, MakeCA(dir, "ca", 100*24*time.Hour), MakeKey(dir, "node", NodeRole, nil, 24*time.Hour), MakeKey(dir, "anna", Operator, nil, time.Hour),
+	mustSucceed(t, MakeCA(dir, "ca", 100*24*time.Hour), MakeKey(dir, "node", NodeRole, nil, 24*time.Hour), MakeKey(dir, "anna", Operator, nil, time.Hour),
 		MakeKey(dir, "next", NodeRole, nil, 90*24*time.Hour))
 	var log strings.Builder
 	k, err := OpenKeys(filepath.Join(dir, "ca.pem"), filepath.Join(dir, "node.pem"), filepath.Join(dir, "node-key.pem"),
@@ -140,73 +140,73 @@
 	}
 	_, first := k.current()
 	if !strings.Contains(log.String(), "expires soon") {
-		t.Errorf("not warned: %s", log.String())
+		t.Errorf("no warning before the certificate expires: %s", log.String())
 	}
 	move := func(from, to string, at time.Time) {
 		text, err := os.ReadFile(filepath.Join(dir, from))
 		if err != nil {
 			t.Fatal(err)
 		}
-		mustMake(t, os.WriteFile(filepath.Join(dir, to), text, 0o600), os.Chtimes(filepath.Join(dir, to), at, at))
+		mustSucceed(t, os.WriteFile(filepath.Join(dir, to), text, 0o600), os.Chtimes(filepath.Join(dir, to), at, at))
 	}
-	again := func() []byte {
+	reloaded := func() []byte {
 		k.checkedAt = time.Time{}
 		_, pair := k.current()
 		return pair.Leaf.Raw
 	}
-	move("next.pem", "node.pem", time.Now().Add(time.Second)) // its key does not belong to it yet
-	if string(again()) != string(first.Leaf.Raw) || !strings.Contains(log.String(), "those before hold") {
-		t.Errorf("half of a pair was taken: %s", log.String())
+	move("next.pem", "node.pem", time.Now().Add(time.Second)) // the old key does not match it
+	if string(reloaded()) != string(first.Leaf.Raw) || !strings.Contains(log.String(), "the previous keys stay in force") {
+		t.Errorf("a certificate without its key was used, or the failure not logged: %s", log.String())
 	}
 	move("next-key.pem", "node-key.pem", time.Now().Add(2*time.Second))
-	if string(again()) == string(first.Leaf.Raw) {
-		t.Errorf("the new pair was not read: %s", log.String())
+	if string(reloaded()) == string(first.Leaf.Raw) {
+		t.Errorf("the new certificate was not loaded: %s", log.String())
 	}
 }
 
-// Nothing is written over, and an authority does not outlive itself.
-func TestMake(t *testing.T) {
+// Existing files are not overwritten, and no certificate can expire after its authority.
+func TestMakeCAAndMakeKey(t *testing.T) {
 	dir := t.TempDir()
 	if err := MakeKey(dir, "anna", Operator, nil, time.Hour); err == nil {
-		t.Error("made without an authority")
+		t.Error("a certificate was made without an authority")
 	}
-	mustMake(t, MakeCA(dir, "ca", time.Hour), MakeKey(dir, "anna", Operator, nil, time.Minute))
+	mustSucceed(t, MakeCA(dir, "ca", time.Hour), MakeKey(dir, "anna", Operator, nil, time.Minute))
 	if err := MakeCA(dir, "ca", time.Hour); !errors.Is(err, ErrExists) {
-		t.Errorf("authority once more: %v", err)
+		t.Errorf("making an authority twice: %v", err)
 	}
 	if err := MakeKey(dir, "anna", Viewer, nil, time.Minute); !errors.Is(err, ErrExists) {
-		t.Errorf("key once more: %v", err)
+		t.Errorf("making a key twice: %v", err)
 	}
 	if err := MakeKey(dir, "late", Viewer, nil, 2*time.Hour); err == nil {
-		t.Error("outlives its authority")
+		t.Error("a certificate was made that expires after its authority")
 	}
 	if info, err := os.Stat(filepath.Join(dir, "anna-key.pem")); err != nil || info.Mode().Perm() != 0o600 {
-		t.Errorf("%v, %v", info, err)
+		t.Errorf("mode of the key file: %v, %v", info, err)
 	}
 }
 
-// A failure to serve does not end the controller.
+// A failure to serve operators must not end the controller.
 //
-// Guard: found in a deployment test where the address could not be listened on: every controller
-// ended by itself.
-func TestKeep(t *testing.T) {
+// Guard: in a deployment test where the operators' address could not be listened on, every controller
+// exited.
+func TestKeepRetriesWhenServeFails(t *testing.T) {
 	var log strings.Builder
 	stop := Keep(t.Context(), Options{Listen: "127.0.0.1:0", CA: "nowhere.pem", Cert: "nowhere.pem", Key: "nowhere.pem",
 		Log: slog.New(slog.NewTextHandler(&log, nil))})
 	time.Sleep(50 * time.Millisecond)
 	stop()
 	if !strings.Contains(log.String(), "operators are not served") {
-		t.Errorf("%s", log.String())
+		t.Errorf("the failure was not logged: %s", log.String())
 	}
 }
 
-// Without certificates only loopback is served and asked, and requests are bounded.
+// Without certificates, server and client accept only loopback addresses. The server limits the request rate.
 func TestPlaintext(t *testing.T) {
 	if _, err := Serve(Options{Listen: "0.0.0.0:0", Plaintext: true, Log: slog.New(slog.DiscardHandler)}); err == nil {
-		t.Error("served to everybody")
+		t.Error("served a non-loopback address without certificates")
 	}
 	if _, err := NewClient([]string{"10.0.0.1:7400"}, "", "", ""); err == nil {
-		t.Error("asks another machine in plaintext")
+		t.Error("made a plaintext client of another machine")
 	}
 	addr := startServer(t, "", "", "", slog.New(slog.DiscardHandler))
 	c, err := NewClient([]string{addr}, "", "", "")
@@ -221,6 +221,6 @@
 		}
 	}
 	if refused < requestBurst {
-		t.Errorf("%d of %d refused", refused, 3*requestBurst)
+		t.Errorf("%d of %d requests refused", refused, 3*requestBurst)
 	}
 }
--- a/internal/operators/server.go
+++ b/internal/operators/server.go
@@ -1,7 +1,7 @@
-// Package operators is the controllers' interface to operators: a gRPC service on a
-// listener of its own, with client certificates that name the caller and a role. The
-// package authenticates and authorizes callers, limits their rate and logs changes; the
-// requests themselves are answered by a function of the controller.
+// Package operators implements the controllers' interface for operators: a gRPC service on a
+// separate listener. Client certificates contain the caller's name and role. The package
+// authenticates and authorizes callers, limits their request rate and logs changes. The
+// controller supplies the function that answers the requests.
 package operators
 
 import (
@@ -35,7 +35,7 @@
 	Log           *slog.Logger
 }
 
-// Bounds of what operators may request of one controller, so that they don't impair its work.
+// Limits on operators' requests to one controller, so that they don't impair its other work.
 const (
 	requestsPerSecond = 10
 	requestBurst      = 20
@@ -43,7 +43,7 @@
 	requestTimeout    = 15 * time.Second
 )
 
-// Serve listens and serves until stop is called. It returns after the listener is open.
+// Serve opens the listener and serves requests in the background until stop is called.
 func Serve(options Options) (stop func(), err error) {
 	service := &server{ask: options.Ask, log: options.Log, limiter: rate.NewLimiter(requestsPerSecond, requestBurst)}
 	serverOptions := []grpc.ServerOption{
@@ -81,11 +81,11 @@
 // serveRetryInterval is the pause before Keep tries to serve again.
 const serveRetryInterval = 15 * time.Second
 
-// Keep serves like Serve, and retries while that fails, until stop is called.
+// Keep serves like Serve until stop is called, and retries whenever Serve fails.
 //
-// Guard: a controller whose operators' address is taken, or whose certificates are missing
-// or expired, does its work all the same. When it ended instead, every controller of a
-// deployment ended by itself, over and over, and nothing ran (TestKeep).
+// Guard: a controller must keep working if the operators' address is in use, or if its certificates
+// are missing or expired. When it exited instead, every controller of a deployment exited
+// repeatedly, and nothing ran (TestKeepRetriesWhenServeFails).
 func Keep(ctx context.Context, options Options) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	ended := make(chan struct{})
@@ -154,7 +154,7 @@
 	return c.Conn.Close()
 }
 
-// server implements the gRPC service.
+// server implements the gRPC service for operators.
 type server struct {
 	operatorspb.UnimplementedOperatorsServer
 	ask     Ask
@@ -163,7 +163,7 @@
 	tls     bool
 }
 
-// changingMethods are the methods that change something, for which the role operator is needed.
+// changingMethods are the methods that make changes. They require the role operator.
 var changingMethods = map[string]bool{
 	operatorspb.Operators_Drain_FullMethodName:   true,
 	operatorspb.Operators_Undrain_FullMethodName: true,
@@ -173,8 +173,8 @@
 // callerKey is the context key of the caller.
 type callerKey struct{}
 
-// authorize is the interceptor of all requests: it checks the caller's role and the rate
-// limit, bounds the time, and logs changes.
+// authorize intercepts all requests. It checks the caller's role and the rate limit, sets the
+// request timeout and logs the request: changes at level info, queries at level debug.
 func (s *server) authorize(ctx context.Context, req any, info *grpc.UnaryServerInfo, handle grpc.UnaryHandler) (any, error) {
 	who, err := s.caller(ctx)
 	if err != nil {
@@ -200,7 +200,7 @@
 	return out, err
 }
 
-// caller identifies the client by its certificate; without TLS it is anybody on this machine.
+// caller identifies the client by its certificate. Without TLS, every client on this machine has the role operator.
 func (s *server) caller(ctx context.Context) (*operatorspb.Caller, error) {
 	p, ok := peer.FromContext(ctx)
 	if !ok {
@@ -220,12 +220,12 @@
 	return &operatorspb.Caller{Name: name, Role: role}, nil
 }
 
-// forward passes a request to the controller, with the caller that authorize found.
+// forward passes a request to the controller, with the caller that authorize identified.
 func (s *server) forward(ctx context.Context, r *operatorspb.Request) (*operatorspb.Reply, error) {
 	r.Caller, _ = ctx.Value(callerKey{}).(*operatorspb.Caller)
 	out, err := s.ask(ctx, r)
 	if err == nil && out == nil {
-		err = errors.New("no answer")
+		err = errors.New("controller returned no response")
 	}
 	return out, err
 }
@@ -248,13 +248,13 @@
 	return out.GetTeams(), err
 }
 
-// Explain tells why a job's tasks are not all running.
+// Explain returns the reasons why a job's tasks are not all running.
 func (s *server) Explain(ctx context.Context, r *operatorspb.ExplainRequest) (*operatorspb.ExplainResponse, error) {
 	out, err := s.forward(ctx, &operatorspb.Request{What: &operatorspb.Request_Explain{Explain: r}})
 	return out.GetExplain(), err
 }
 
-// Blockers tells which tasks hold the capacity that a job lacks.
+// Blockers returns the tasks that hold the capacity that a job lacks.
 func (s *server) Blockers(ctx context.Context, r *operatorspb.BlockersRequest) (*operatorspb.BlockersResponse, error) {
 	out, err := s.forward(ctx, &operatorspb.Request{What: &operatorspb.Request_Blockers{Blockers: r}})
 	return out.GetBlockers(), err
@@ -278,19 +278,19 @@
 	return out.GetDrains(), err
 }
 
-// Status sums up the state of the cluster.
+// Status summarizes the state of the cluster.
 func (s *server) Status(ctx context.Context, r *operatorspb.StatusRequest) (*operatorspb.StatusResponse, error) {
 	out, err := s.forward(ctx, &operatorspb.Request{What: &operatorspb.Request_Status{Status: r}})
 	return out.GetStatus(), err
 }
 
-// Settings returns the settings in force, or those before.
+// Settings returns the settings in force or the previous ones.
 func (s *server) Settings(ctx context.Context, r *operatorspb.SettingsRequest) (*operatorspb.SettingsResponse, error) {
 	out, err := s.forward(ctx, &operatorspb.Request{What: &operatorspb.Request_Settings{Settings: r}})
 	return out.GetSettings(), err
 }
 
-// Compare tells what settings would change.
+// Compare returns the differences between the given settings and those in force.
 func (s *server) Compare(ctx context.Context, r *operatorspb.CompareRequest) (*operatorspb.CompareResponse, error) {
 	out, err := s.forward(ctx, &operatorspb.Request{What: &operatorspb.Request_Compare{Compare: r}})
 	return out.GetCompare(), err
@@ -302,8 +302,8 @@
 	return out.GetReload(), err
 }
 
-// RegisterRelay registers the service between controllers: it answers operators' requests
-// that another controller forwards, and tells whether this one could adopt settings. check
+// RegisterRelay registers the service between controllers. It answers operators' requests
+// that another controller forwards, and reports whether this controller could adopt settings. check
 // may be called from any goroutine.
 func RegisterRelay(s grpc.ServiceRegistrar, ask Ask, check func(text string) (problem string)) {
 	operatorspb.RegisterRelayServer(s, &relay{ask: ask, check: check})
@@ -316,7 +316,7 @@
 	check func(text string) string
 }
 
-// Check tells whether this controller could adopt settings.
+// Check reports whether this controller could adopt settings, and if not, the problem.
 func (r *relay) Check(_ context.Context, request *operatorspb.CompareRequest) (*operatorspb.CheckResponse, error) {
 	return &operatorspb.CheckResponse{Problem: r.check(request.Text)}, nil
 }
