--- a/internal/settings/changes.go
+++ b/internal/settings/changes.go
@@ -11,8 +11,8 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// Change returns a copy of the settings with those that a file gives; the others stay as
-// they are. Unlike Overlay it doesn't check how the settings depend on each other.
+// Change returns a copy of the settings in which the settings in a file replace the current ones.
+// Unlike Overlay it doesn't check how the settings depend on each other.
 func (o Operator) Change(path string) (*Operator, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// eachEntry calls handle for each entry of (name (entry ...) ...) until one fails.
+// eachEntry calls handle for each entry of (name (entry ...) ...) until a call fails.
 func eachEntry(text []byte, name string, handle func(entry string, values []any) error) error {
 	values, err := parseForm(text, name)
 	if err != nil {
@@ -54,7 +54,7 @@
 	return nil
 }
 
-// leadingNames splits an entry's values into n names and the rest.
+// leadingNames splits an entry's values into n leading names and the rest.
 func leadingNames(values []any, n int) (names []string, rest []any, err error) {
 	for i := range n {
 		if i >= len(values) {
@@ -69,10 +69,10 @@
 	return names, values[n:], nil
 }
 
-// setters set a value each, by the name of its entry.
+// setters maps the name of an entry to the function that sets its value.
 type setters map[string]func(value any) error
 
-// apply reads (name value) pairs. At least one is needed.
+// apply reads (name value) pairs. It returns an error if there are none.
 func (s setters) apply(values []any) error {
 	seen := map[string]bool{}
 	for _, value := range values {
@@ -95,13 +95,13 @@
 		}
 	}
 	if len(seen) == 0 {
-		return errors.New("changes nothing")
+		return errors.New("no values given")
 	}
 	return nil
 }
 
-// amount makes the setter of a number that is not negative.
-func amount(target *float64) func(value any) error {
+// nonNegative returns a setter for a number that must not be negative.
+func nonNegative(target *float64) func(value any) error {
 	return func(value any) error {
 		switch number := value.(type) {
 		case int64:
@@ -118,7 +118,7 @@
 	}
 }
 
-// positiveDuration makes the setter of a duration.
+// positiveDuration returns a setter for a duration that must be positive.
 func positiveDuration(target *time.Duration) func(value any) error {
 	return func(value any) error {
 		text, _ := value.(string)
@@ -132,8 +132,8 @@
 }
 
 // ReadTeams reads (teams (team "name" (cpus 10) (cpus-max 20) (gpus 1) (gpus-max 2)) ...):
-// guarantees and limits, 0 for none. What an entry leaves out stays. Teams that are not
-// in known are errors.
+// guarantees and limits, 0 for none. Amounts that an entry omits keep their value. A team that
+// is not in known is an error.
 func ReadTeams(path string, known map[string]model.Team) (map[string]model.Team, error) {
 	out, seen := maps.Clone(known), map[string]bool{}
 	return out, entries(path, "teams", func(entry string, values []any) error {
@@ -155,10 +155,10 @@
 		}
 		seen[name] = true
 		amounts := setters{
-			"cpus":     amount(&team.Guarantee.CPUs),
-			"cpus-max": amount(&team.Limit.CPUs),
-			"gpus":     amount(&team.Guarantee.GPUs),
-			"gpus-max": amount(&team.Limit.GPUs),
+			"cpus":     nonNegative(&team.Guarantee.CPUs),
+			"cpus-max": nonNegative(&team.Limit.CPUs),
+			"gpus":     nonNegative(&team.Guarantee.GPUs),
+			"gpus-max": nonNegative(&team.Limit.GPUs),
 		}
 		if err := amounts.apply(rest); err != nil {
 			return fieldError(label, err)
@@ -168,15 +168,15 @@
 	})
 }
 
-// Capacity is how many machines of a pool the cloud has, -1 where it is not given.
+// Capacity is the number of machines of a pool that the cloud has. A number is -1 if it is not given.
 type Capacity struct {
 	Pool           model.Pool
 	Ordinary, Spot int
 }
 
 // ReadMachines reads (machines (capacity "type" "zone" (ordinary 20) (spot 5)) (type "type"
-// (price 2.5) (spot-price 1) (boot "30s") (fetch 0.5)) ...): what the cloud has, prices an
-// hour, boot times and GB a second. Types and zones that are not known are errors.
+// (price 2.5) (spot-price 1) (boot "30s") (fetch 0.5)) ...): the cloud's capacity, prices per
+// hour, boot times and the fetch rate in GB per second. An unknown type or zone is an error.
 func ReadMachines(path string, known map[string]model.MachineType) (map[string]model.MachineType, []Capacity, error) {
 	types := maps.Clone(known)
 	var out []Capacity
@@ -209,7 +209,7 @@
 		return Capacity{}, fieldErrorf("capacity", "there is no type %q in zone %q", pool.Type, pool.Zone)
 	}
 	ordinary, spot := -1.0, -1.0
-	counts := setters{"ordinary": amount(&ordinary), "spot": amount(&spot)}
+	counts := setters{"ordinary": nonNegative(&ordinary), "spot": nonNegative(&spot)}
 	if err := counts.apply(rest); err != nil {
 		return Capacity{}, fieldError(fmt.Sprintf("capacity %q %q", pool.Type, pool.Zone), err)
 	}
@@ -228,9 +228,9 @@
 		return fieldErrorf(fmt.Sprintf("type %q", name), "unknown; there are %q", slices.Sorted(maps.Keys(known)))
 	}
 	properties := setters{
-		"price":      amount(&machineType.Price),
-		"spot-price": amount(&machineType.SpotPrice),
-		"fetch":      amount(&machineType.FetchGBPerS),
+		"price":      nonNegative(&machineType.Price),
+		"spot-price": nonNegative(&machineType.SpotPrice),
+		"fetch":      nonNegative(&machineType.FetchGBPerS),
 		"boot":       positiveDuration(&machineType.Boot),
 	}
 	if err := properties.apply(rest); err != nil {
--- a/internal/settings/decode.go
+++ b/internal/settings/decode.go
@@ -7,11 +7,11 @@
 	"strings"
 )
 
-// Decode reads (name entry ...) into a struct. The tag sexp names the entry of a field;
-// a slice of structs takes an entry each time that it comes, a slice of texts all of its
-// values, and the field with the tag "name" the text that follows an entry's own name.
-// Whatever has no field is an error that names it. Fields that no entry names stay as
-// they are.
+// Decode reads (name entry ...) into a struct. The struct tag sexp holds the name of a field's entry.
+// Each occurrence of an entry appends an element to a slice of structs. An entry appends all its
+// values to a slice of strings. The field with the tag "name" receives the string that follows the
+// entry's own name. An entry without a field is an error that names the entry. Fields without an
+// entry keep their value.
 func Decode(text []byte, name string, into any) error {
 	entries, err := parseForm(text, name)
 	if err != nil {
@@ -36,7 +36,7 @@
 		if !ok || entry == "name" {
 			return fieldError(entry, errUnknownEntry)
 		}
-		if seen[entry] && !isStructs(target) {
+		if seen[entry] && !isStructSlice(target) {
 			return fieldError(entry, errGivenTwice)
 		}
 		seen[entry] = true
@@ -65,15 +65,15 @@
 	return values[1:], nil
 }
 
-// isStructs tells whether a field is a slice of structs.
-func isStructs(target reflect.Value) bool {
+// isStructSlice reports whether a field is a slice of structs.
+func isStructSlice(target reflect.Value) bool {
 	return target.Kind() == reflect.Slice && target.Type().Elem().Kind() == reflect.Struct
 }
 
 // decodeEntry reads the values of one entry into its field.
 func decodeEntry(args []any, target reflect.Value, tag reflect.StructTag) error {
 	switch {
-	case isStructs(target):
+	case isStructSlice(target):
 		element := reflect.New(target.Type().Elem()).Elem()
 		if err := decode(args, element); err != nil {
 			return err
@@ -83,7 +83,7 @@
 		for _, arg := range args {
 			text, ok := arg.(string)
 			if !ok || text == "" {
-				return fmt.Errorf("%v is not a text in quotes", arg)
+				return fmt.Errorf("%v is not a quoted string", arg)
 			}
 			target.Set(reflect.Append(target, reflect.ValueOf(text)))
 		}
--- a/internal/settings/errors.go
+++ b/internal/settings/errors.go
@@ -5,26 +5,26 @@
 	"fmt"
 )
 
-// FieldError is a setting that can't be used: its name and the reason. The reason may be
-// another FieldError, of an entry within a form.
+// FieldError reports an invalid setting with its name and the reason. The reason may be
+// another FieldError that belongs to a nested entry.
 type FieldError struct {
 	Field  string // such as "leadership.hold" or "deployment.teams[0].name"
 	Reason error
 }
 
-// Error names the field and the reason.
+// Error returns the field's name and the reason.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Reason.Error() }
 
 // Unwrap returns the reason.
 func (e *FieldError) Unwrap() error { return e.Reason }
 
-// SyntaxError is a text that is not in the expected form.
+// SyntaxError reports a text that does not have the expected syntax.
 type SyntaxError struct {
 	Reason string
 	Err    error // the parser's error, if there is one
 }
 
-// Error tells the reason.
+// Error returns the reason and the parser's error, if there is one.
 func (e *SyntaxError) Error() string {
 	if e.Err == nil {
 		return e.Reason
@@ -50,15 +50,15 @@
 	errNeedsNumber      = errors.New("needs a positive number")
 )
 
-// fieldError makes the error of a field.
+// fieldError returns a FieldError.
 func fieldError(field string, reason error) error { return &FieldError{Field: field, Reason: reason} }
 
-// fieldErrorf makes the error of a field, with a reason that tells of its value.
+// fieldErrorf returns a FieldError with a formatted reason.
 func fieldErrorf(field, format string, args ...any) error {
 	return &FieldError{Field: field, Reason: fmt.Errorf(format, args...)}
 }
 
-// headError is a form that starts with another name than expected.
+// headError returns the error for a list that starts with an unexpected name.
 func headError(got, want string) error {
 	return &SyntaxError{Reason: fmt.Sprintf("starts with (%s, not (%s", got, want)}
 }
--- a/internal/settings/fields.go
+++ b/internal/settings/fields.go
@@ -14,17 +14,17 @@
 // Field is one of the operators' settings.
 type Field struct {
 	Name    string // section.entry
-	Value   string // as it is written
-	Note    string // what it does
+	Value   string // in the syntax of the settings file
+	Note    string // description
 	Restart bool   // a change needs a restart
 }
 
-// reloadable are the sections that a running controller can change: what the leader
-// decides by. The others are used once, for clients, listeners and the lease times that
-// safety depends on.
+// reloadable lists the sections that a running controller can change. They guide the leader's
+// decisions. The other sections are used only once, for clients, listeners and the lease times
+// that safety depends on.
 var reloadable = []string{"placement", "fleet"}
 
-// notes are the comments of the default settings, by section.entry.
+// notes returns the comments in the default settings, by section.entry.
 var notes = sync.OnceValue(func() map[string]string {
 	out := map[string]string{}
 	sectionLine := regexp.MustCompile(`^  \(([a-z]+)\b`)
@@ -61,7 +61,7 @@
 	return out
 }
 
-// valueText is a setting's value as it is written in the file.
+// valueText returns a setting's value in the syntax of the settings file.
 func valueText(value any) string {
 	switch value := value.(type) {
 	case time.Duration:
@@ -72,8 +72,8 @@
 	return fmt.Sprint(value)
 }
 
-// Overlay returns a copy of the settings with those that a text gives, checked; the others
-// stay as they are.
+// Overlay returns a copy of the settings in which the settings in a text replace the current ones.
+// It checks the result.
 func (o Operator) Overlay(text []byte) (*Operator, error) {
 	if err := o.apply(text, map[string]bool{}); err != nil {
 		return nil, err
@@ -90,13 +90,13 @@
 	return &o, nil
 }
 
-// Difference is a setting with two values.
+// Difference is a setting with its current and its new value.
 type Difference struct {
 	Field        // in force
 	Next  string // the new value
 }
 
-// Differences lists what other settings would change.
+// Differences returns the settings whose values differ in next.
 func (o *Operator) Differences(next *Operator) (out []Difference) {
 	other := next.Fields()
 	for i, f := range o.Fields() {
@@ -107,8 +107,8 @@
 	return out
 }
 
-// Reload returns these settings with the sections of others that a running controller can
-// change. An error names a setting whose change needs a restart.
+// Reload returns a copy of the settings with the reloadable sections of next. If a setting differs
+// whose change needs a restart, it returns an error that names the setting.
 func (o Operator) Reload(next *Operator) (*Operator, error) {
 	for _, d := range o.Differences(next) {
 		if d.Restart {
--- a/internal/settings/operator.go
+++ b/internal/settings/operator.go
@@ -14,8 +14,8 @@
 //go:embed defaults.sexp
 var defaults []byte
 
-// Operator holds the operators' settings. The tags name the S-expression of
-// each; every field must be present in defaults.sexp.
+// Operator holds the operators' settings. The struct tags contain the names of the entries in the
+// S-expression. Every field must be present in defaults.sexp.
 type Operator struct {
 	Leadership struct {
 		Hold   time.Duration `sexp:"hold"`
@@ -88,8 +88,8 @@
 	} `sexp:"regions"`
 }
 
-// LoadOperator returns the defaults, changed by the file at path unless path
-// is empty.
+// LoadOperator returns the default settings. If path is not empty, the settings in that file replace
+// the defaults.
 func LoadOperator(path string) (*Operator, error) {
 	var o Operator
 	seen := map[string]bool{}
@@ -110,26 +110,26 @@
 	return next, nil
 }
 
-// OperatorsListen is the address that a controller serves operators at. A port alone, such
-// as ":7400", is on the host that its peers reach it at, so that all controllers can have
-// the same settings.
-func (o *Operator) OperatorsListen(p *Platform) string { return onHost(o.Operators.Listen, p) }
+// OperatorsListen returns the address at which a controller serves operators. If the setting is only
+// a port, such as ":7400", the host is that of the controller's peer address, so that all controllers
+// can have the same settings.
+func (o *Operator) OperatorsListen(p *Platform) string { return withPeerHost(o.Operators.Listen, p) }
 
-// MetricsListen is the address that a controller serves metrics at, completed in the same way.
-func (o *Operator) MetricsListen(p *Platform) string { return onHost(o.Metrics.Listen, p) }
+// MetricsListen returns the address at which a controller serves metrics. Its host is added in the same way.
+func (o *Operator) MetricsListen(p *Platform) string { return withPeerHost(o.Metrics.Listen, p) }
 
-// anyPlatform stands for the platform where only the form of an address is checked.
+// anyPlatform is a placeholder for the platform where only the syntax of an address is checked.
 var anyPlatform = &Platform{PeerListen: "127.0.0.1:1"}
 
-// onHost completes an address that is a port alone.
-func onHost(listen string, p *Platform) string {
+// withPeerHost adds the host of the peer address to an address that is only a port.
+func withPeerHost(listen string, p *Platform) string {
 	if host, _, err := net.SplitHostPort(p.PeerListen); err == nil && strings.HasPrefix(listen, ":") {
 		return net.JoinHostPort(host, listen[1:])
 	}
 	return listen
 }
 
-// checkMetrics checks the address that metrics are served at.
+// checkMetrics checks the address at which metrics are served.
 func (o *Operator) checkMetrics() error {
 	if o.Metrics.Listen != "off" {
 		if _, err := netip.ParseAddrPort(o.MetricsListen(anyPlatform)); err != nil {
@@ -157,8 +157,8 @@
 	return nil
 }
 
-// apply reads (marlwood (section (name value) ...) ...). seen collects the settings that
-// were given, section.name.
+// apply reads (marlwood (section (name value) ...) ...). It adds the name of each setting to seen, as
+// section.name.
 func (o *Operator) apply(text []byte, seen map[string]bool) error {
 	sections, err := parseForm(text, "marlwood")
 	if err != nil {
--- a/internal/settings/platform.go
+++ b/internal/settings/platform.go
@@ -1,5 +1,5 @@
-// Package settings reads the platform's JSON file and the operators' own
-// S-expressions, and checks both.
+// Package settings reads and checks the platform's JSON file and the operators' settings, which are
+// S-expressions.
 package settings
 
 import (
@@ -19,7 +19,7 @@
 	Addr   string
 }
 
-// Platform is what the platform says about this node and its deployment.
+// Platform is the platform's configuration of this controller and its deployment.
 type Platform struct {
 	Member     string
 	Zone       string
@@ -34,17 +34,17 @@
 	ReportEvery time.Duration
 	Lease       time.Duration
 	CancelWait  time.Duration
-	ClockOff    time.Duration // most that a controller's time of day is off
-	GangWait    time.Duration // after which a gang's task gives up waiting for the others; 0: not given
+	ClockOff    time.Duration // largest error of a controller's wall clock
+	GangWait    time.Duration // time after which a gang's task stops waiting for the others; 0: not given
 
-	// Limits of the state service: the tighter of those in force and those to come, because
-	// the moment of the change is not announced.
+	// Limits of the state service. Each is the stricter of the current and the announced next
+	// limit, because the time of the change is not announced.
 	StateRPS      float64
 	StateWriteRPS float64
 	ValueBytes    int
 	TxnOps        int
-	// WideValueBytes is the limit that is in force at first. Versions that don't know
-	// of later limits split large records by it.
+	// WideValueBytes is the current limit, before any announced change. Versions that don't support
+	// next limits split large records by it.
 	WideValueBytes int
 	CloudRPS       float64
 	MemoryMB       float64
@@ -64,8 +64,7 @@
 	return p, nil
 }
 
-// ParsePlatform reads and checks the platform's JSON; fields it does not know
-// are ignored.
+// ParsePlatform parses and checks the platform's JSON. It ignores unknown fields.
 func ParsePlatform(text []byte) (*Platform, error) {
 	var wire wirePlatform
 	if err := json.Unmarshal(text, &wire); err != nil {
@@ -92,21 +91,21 @@
 	return p, nil
 }
 
-// minLeaderTime is the least part of cancel_s that must remain beside a worker's lease.
+// minLeaderTime is the shortest time that must remain of cancel_s after subtracting a worker's lease.
 const minLeaderTime = 3 * time.Second
 
-// Timing are the times that bound a leader's term.
+// Timing contains the durations that bound a leader's term.
 type Timing struct {
-	DelegatedLease time.Duration // how long an owner may answer after hearing from the leader
+	DelegatedLease time.Duration // how long an owner may answer after the leader's last message to it
 	Margin         time.Duration // reserve for clock drift and slow timers
 	LeaderLease    time.Duration // H: how long the leader may act after sending its last keep-alive
-	PollInterval   time.Duration // between reads of the leader key
+	PollInterval   time.Duration // interval between reads of the leader key
 	KeyLease       time.Duration // time to live of the leader key
 }
 
-// Timing derives the bounds from cancel_s: a worker's lease, the delegated lease, the
-// margin and the leader lease together must not exceed it. Where cancel_s is tight, the
-// operators' grant and margin are reduced.
+// Timing derives the bounds from cancel_s: the sum of a worker's lease, the delegated lease, the
+// margin and the leader lease must not exceed it. If cancel_s is short, the operators' grant and
+// margin are reduced.
 func (p *Platform) Timing(o *Operator) (Timing, error) {
 	left := p.CancelWait - p.Lease
 	if left < minLeaderTime {
--- a/internal/settings/platform_wire.go
+++ b/internal/settings/platform_wire.go
@@ -7,10 +7,10 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// maxObjectiveSeconds bounds a service-level objective.
+// maxObjectiveSeconds is the largest allowed service-level objective.
 const maxObjectiveSeconds = 1e9
 
-// wirePlatform is the platform's file.
+// wirePlatform is the JSON form of the platform's file.
 type wirePlatform struct {
 	Member     string `json:"member"`
 	Zone       string `json:"location"`
@@ -59,7 +59,7 @@
 	} `json:"deployment"`
 }
 
-// platform makes a platform of the fields that need no parsing.
+// platform returns a Platform with the fields that need no further parsing.
 func (w *wirePlatform) platform() *Platform {
 	workers := w.Params.Workers
 	return &Platform{
@@ -93,7 +93,7 @@
 	return nil
 }
 
-// addSiblings adds the other controllers; their names must differ.
+// addSiblings adds the other controllers. All names must be unique, including this controller's.
 func (p *Platform) addSiblings(w *wirePlatform) error {
 	members := map[string]bool{p.Member: true}
 	for i, sibling := range w.Siblings {
@@ -144,7 +144,7 @@
 	return nil
 }
 
-// addObjectives adds the service-level objectives, of several for a class the tightest.
+// addObjectives adds the service-level objectives. If a class has several of one kind, the strictest applies.
 func (p *Platform) addObjectives(w *wirePlatform) error {
 	for i, wireObjective := range w.Params.Objectives {
 		if wireObjective.WithinS < 0 || wireObjective.WithinS > maxObjectiveSeconds {
@@ -162,7 +162,7 @@
 	return nil
 }
 
-// checkPositive checks the times and limits that must be given.
+// checkPositive checks that all required times and limits are positive.
 func (p *Platform) checkPositive(*wirePlatform) error {
 	for _, field := range []struct {
 		name  string
@@ -190,18 +190,18 @@
 	TxnOps   *int     `json:"txn_ops"`
 }
 
-// leastTxnOps is the fewest changes that one transaction must take: a job that
-// becomes ready or is over moves from one key to another.
-const leastTxnOps = 2
+// minTxnOps is the smallest usable limit on the changes in one transaction: when a job becomes
+// ready or ends, its record moves from one key to another.
+const minTxnOps = 2
 
-// leastValueBytes is the least size of a value that a job's record fits into.
-const leastValueBytes = 1024
+// minValueBytes is the smallest usable limit on the size of a value, so that a job's record fits.
+const minValueBytes = 1024
 
-// maxValueKB bounds a given size of values, in KiB.
+// maxValueKB is the largest accepted limit on the size of a value, in KiB.
 const maxValueKB = 1 << 20
 
-// addStateLimits sets the state service's limits to the tighter of those in force and
-// those to come. A field that is missing from those to come does not change.
+// addStateLimits sets each limit of the state service to the stricter of the current and the next
+// one. A limit that is missing from the next limits does not change.
 func (p *Platform) addStateLimits(w *wirePlatform) error {
 	now, next := w.Params.State.stateLimits, w.Params.State.Next
 	if err := now.check("deployment.state", true); err != nil {
@@ -232,7 +232,7 @@
 	return nil
 }
 
-// check reports the first limit that can't be used, or is missing though required.
+// check returns an error for the first limit that is invalid, or that is required but missing.
 func (l *stateLimits) check(name string, required bool) error {
 	for _, rate := range []struct {
 		name  string
@@ -245,14 +245,14 @@
 	if missing := l.ValueKB == nil; missing && required || !missing && !l.valueInRange() {
 		return fieldErrorf(name+".value_kb", "missing or out of range")
 	}
-	if missing := l.TxnOps == nil; missing && required || !missing && *l.TxnOps < leastTxnOps {
-		return fieldErrorf(name+".txn_ops", "missing or less than %d", leastTxnOps)
+	if missing := l.TxnOps == nil; missing && required || !missing && *l.TxnOps < minTxnOps {
+		return fieldErrorf(name+".txn_ops", "missing or less than %d", minTxnOps)
 	}
 	return nil
 }
 
 func (l *stateLimits) valueInRange() bool {
-	return *l.ValueKB*1024 >= leastValueBytes && *l.ValueKB <= maxValueKB
+	return *l.ValueKB*1024 >= minValueBytes && *l.ValueKB <= maxValueKB
 }
 
 func (l *stateLimits) valueBytes() int { return int(*l.ValueKB * 1024) }
--- a/internal/settings/regions.go
+++ b/internal/settings/regions.go
@@ -5,26 +5,26 @@
 	"strings"
 )
 
-// NoRegions is the name of the region where the deployment is the only one.
+// NoRegions is the region's name if the deployment is the only region.
 const NoRegions = "off"
 
-// maxRegionName bounds the length of a region's name.
+// maxRegionName is the maximum length of a region's name.
 const maxRegionName = 40
 
-// Region is another region, with the addresses that its controllers reach each other at.
+// Region is another region, with the addresses at which its controllers reach each other.
 type Region struct {
 	Name  string
 	Addrs []string
 }
 
-// OtherRegions parses regions.others: regions separated by semicolons, each a name and addresses separated
-// by spaces. It returns none where the deployment is the only one.
+// OtherRegions parses regions.others. Regions are separated by semicolons; each consists of a name and addresses
+// separated by spaces. It returns no regions if the deployment is the only one.
 func (o *Operator) OtherRegions() ([]Region, error) {
 	name, others := o.Regions.Name, o.Regions.Others
 	if name == NoRegions && others == "" {
 		return nil, nil
 	}
-	if name != NoRegions && (!regionName(name) || others == "") {
+	if name != NoRegions && (!validRegionName(name) || others == "") {
 		return nil, fieldErrorf("regions.name", "neither \"off\" nor a name of small letters, digits and - beside others: %q", name)
 	}
 	out, err := readRegions(name, others)
@@ -42,7 +42,7 @@
 		switch {
 		case len(words) < 2:
 			return nil, fieldErrorf("regions.others", `expected "south 10.1.0.1:8081 10.1.0.2:8081; west 10.2.0.1:8081"`)
-		case !regionName(words[0]) || seen[words[0]]:
+		case !validRegionName(words[0]) || seen[words[0]]:
 			return nil, fieldErrorf("regions.others", "not a name of small letters, digits and -, or given twice: %q", words[0])
 		}
 		seen[words[0]] = true
@@ -56,7 +56,7 @@
 	return out, nil
 }
 
-// regionName tells whether a text can be the name of a region.
-func regionName(s string) bool {
+// validRegionName reports whether s is a valid name of a region.
+func validRegionName(s string) bool {
 	return s != "" && s != NoRegions && len(s) <= maxRegionName && strings.Trim(s, "abcdefghijklmnopqrstuvwxyz0123456789-") == ""
 }
--- a/internal/settings/reload_test.go
+++ b/internal/settings/reload_test.go
@@ -6,29 +6,29 @@
 	"testing"
 )
 
-// Every setting refuses what makes no sense, by its name, and the settings before stay as
-// they were; so do files that are no settings.
-func TestBroken(t *testing.T) {
+// Each setting rejects invalid values with an error that contains the setting's name. Texts that are not
+// settings are rejected too. A rejected text does not change the settings.
+func TestOverlayRejectsInvalidSettings(t *testing.T) {
 	o, err := LoadOperator("")
 	if err != nil {
 		t.Fatal(err)
 	}
 	before, tried := fmt.Sprint(o.Fields()), 0
-	refuse := func(text, names string) {
+	reject := func(text, names string) {
 		t.Helper()
 		tried++
 		if _, err := o.Overlay([]byte(text)); err == nil || !strings.Contains(err.Error(), names) {
-			t.Errorf("%s: %v, which does not name %q", text, err, names)
+			t.Errorf("%s: error %v does not contain %q", text, err, names)
 		}
 	}
 	for _, f := range o.Fields() {
 		section, entry, _ := strings.Cut(f.Name, ".")
-		if section != "operators" || entry == "plaintext" { // addresses and files are texts
-			refuse(fmt.Sprintf("(marlwood (%s (%s \"nonsense\")))", section, entry), f.Name)
-			refuse(fmt.Sprintf("(marlwood (%s (%s -1)))", section, entry), f.Name)
+		if section != "operators" || entry == "plaintext" { // addresses and file names accept any string
+			reject(fmt.Sprintf("(marlwood (%s (%s \"nonsense\")))", section, entry), f.Name)
+			reject(fmt.Sprintf("(marlwood (%s (%s -1)))", section, entry), f.Name)
 		}
-		refuse(fmt.Sprintf("(marlwood (%s (%s)))", section, entry), f.Name)
-		refuse(fmt.Sprintf("(marlwood (%s (%s %s) (%s %s)))", section, entry, f.Value, entry, f.Value), f.Name)
+		reject(fmt.Sprintf("(marlwood (%s (%s)))", section, entry), f.Name)
+		reject(fmt.Sprintf("(marlwood (%s (%s %s) (%s %s)))", section, entry, f.Value, entry, f.Value), f.Name)
 	}
 	for text, names := range map[string]string{
 		"":                                 "S-expression",
@@ -42,18 +42,19 @@
 		"(marlwood (operators (listen \"10.0.0.1:7400\") (plaintext \"yes\")))": "operators.plaintext",
 		"(marlwood (operators (listen \"everywhere\")))":                        "operators.listen",
 	} {
-		refuse(text, names)
+		reject(text, names)
 	}
-	t.Logf("%d broken texts", tried)
+	t.Logf("%d invalid texts", tried)
 	if tried < 50 {
-		t.Errorf("only %d broken texts", tried)
+		t.Errorf("only %d invalid texts were tried", tried)
 	}
 	if after := fmt.Sprint(o.Fields()); after != before {
-		t.Error("a refused text changed the settings")
+		t.Error("a rejected text changed the settings")
 	}
 }
 
-// What can be reloaded, and what needs a restart; every setting says what it does.
+// Changes of reloadable settings are taken over. Changes of other settings are rejected, because they need a
+// restart. Every setting has a description.
 func TestReload(t *testing.T) {
 	o, err := LoadOperator("")
 	if err != nil {
@@ -61,7 +62,7 @@
 	}
 	for _, f := range o.Fields() {
 		if f.Note == "" {
-			t.Errorf("%s says nothing", f.Name)
+			t.Errorf("%s has no description", f.Name)
 		}
 	}
 	for text, restart := range map[string]string{
@@ -71,7 +72,7 @@
 		`(marlwood (operators (listen "127.0.0.1:1") (plaintext "yes")))`: "operators.listen",
 		`(marlwood (record (lines "stderr")))`:                            "record.lines",
 		`(marlwood (regions (name "a") (others "b 127.0.0.1:1")))`:        "regions.name",
-		`(marlwood (leadership (hold "5s")))`:                             "", // as it is
+		`(marlwood (leadership (hold "5s")))`:                             "", // the default value
 	} {
 		next, err := o.Overlay([]byte(text))
 		if err != nil {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -15,7 +15,7 @@
 "state":{"rps":250,"write_rps":60,"value_kb":16,"txn_ops":16},"cloud":{"rps":3,"list_lag_s":3},
 "quota":{"cpu_share":0.06,"mem_mb":98,"sockets":900}}}`
 
-func TestPlatform(t *testing.T) {
+func TestParsePlatform(t *testing.T) {
 	p, err := ParsePlatform([]byte(platform))
 	if err != nil || p.Lease != 10*time.Second || p.ValueBytes != 16384 || p.Teams["t"].Limit.CPUs != 2 {
 		t.Fatalf("%+v, %v", p, err)
@@ -41,8 +41,8 @@
 	}
 }
 
-// Limits that are to come count from the start, where they are tighter.
-func TestLimitsToCome(t *testing.T) {
+// Announced next limits of the state service apply from the start if they are stricter than the current ones.
+func TestNextStateLimitsApplyAtOnce(t *testing.T) {
 	for _, c := range []struct {
 		next             string
 		rps, writes      float64
@@ -73,9 +73,9 @@
 	}
 }
 
-// The parts of cancel_s never add up to more than it: a cancelled job's tasks
-// must be gone even if the leader can no longer hear of the cancellation.
-func TestTerms(t *testing.T) {
+// The sum of the durations derived from cancel_s never exceeds it: a cancelled job's tasks must have
+// ended by then, even if the leader can no longer be notified of the cancellation.
+func TestTimingFitsIntoCancelWait(t *testing.T) {
 	o, err := LoadOperator("")
 	if err != nil {
 		t.Fatal(err)
@@ -94,23 +94,23 @@
 		}
 	}
 	if _, err := (&Platform{Lease: 10 * time.Second, CancelWait: 11 * time.Second}).Timing(o); err == nil {
-		t.Error("no time to act was accepted")
+		t.Error("accepted a cancel_s that leaves the leader no time to act")
 	}
 }
 
-func TestOperator(t *testing.T) {
+func TestLoadOperator(t *testing.T) {
 	for _, c := range []struct{ name, text, err string }{
 		{"change", `(marlwood (placement (draws 3)) (leadership (grant "1500ms")))`, ""},
-		{"nothing", `(marlwood)`, ""},
+		{"no settings", `(marlwood)`, ""},
 		{"unknown section", `(marlwood (placing (draws 3)))`, "placing: unknown section"},
 		{"unknown setting", `(marlwood (placement (drawz 3)))`, "placement.drawz: unknown setting"},
-		{"twice", `(marlwood (placement (draws 3) (draws 4)))`, "given twice"},
+		{"setting given twice", `(marlwood (placement (draws 3) (draws 4)))`, "given twice"},
 		{"bare number for a duration", `(marlwood (leadership (grant 3)))`, "leadership.grant: needs a duration"},
 		{"negative", `(marlwood (placement (draws -1)))`, "placement.draws: needs a positive whole number"},
 		{"zero duration", `(marlwood (leadership (grant "0s")))`, "positive duration"},
 		{"two values", `(marlwood (placement (draws 3 4)))`, "needs one value"},
-		{"open list", `(marlwood (placement`, "not an S-expression"},
-		{"other head", `(other)`, "not (marlwood"},
+		{"unclosed list", `(marlwood (placement`, "not an S-expression"},
+		{"wrong first name", `(other)`, "not (marlwood"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "s.sexp")
@@ -131,8 +131,8 @@
 	}
 }
 
-// What stands under deploy/ is taken as it is.
-func TestDeployed(t *testing.T) {
+// Every settings file in deploy/ must load.
+func TestDeployedSettingsLoad(t *testing.T) {
 	files, err := filepath.Glob("../../deploy/*.sexp")
 	if err != nil || len(files) < 2 {
 		t.Fatalf("%v, %v", files, err)
--- a/internal/settings/sexp.go
+++ b/internal/settings/sexp.go
@@ -27,7 +27,7 @@
 	return rest, nil
 }
 
-// form splits a list that starts with a symbol into the symbol and the rest.
+// form splits a list that starts with a symbol into the symbol's name and the other elements.
 func form(value any) (string, []any, error) {
 	list, ok := value.([]any)
 	if !ok || len(list) == 0 {
@@ -40,19 +40,19 @@
 	return string(symbol), list[1:], nil
 }
 
-// quotedName reads a text that is not empty.
+// quotedName returns value as a string. It must be a string that is not empty.
 func quotedName(value any) (string, error) {
 	text, ok := value.(string)
 	if !ok || text == "" {
-		return "", fmt.Errorf("%v is not a name in quotes", value)
+		return "", fmt.Errorf("%v is not a quoted name", value)
 	}
 	return text, nil
 }
 
-// errNameMissing tells that an entry lacks the name in quotes that must follow its own.
-var errNameMissing = errors.New("a name is missing")
+// errNameMissing reports that an entry lacks the quoted name that must follow the entry's own name.
+var errNameMissing = errors.New("quoted name missing")
 
-// field finds the field of a struct whose tag sexp is name.
+// field returns the field of a struct whose sexp tag is name.
 func field(structure reflect.Value, name string) (reflect.Value, reflect.StructTag, bool) {
 	for i := range structure.NumField() {
 		if tag := structure.Type().Field(i).Tag; tag.Get("sexp") == name {
@@ -62,7 +62,7 @@
 	return reflect.Value{}, "", false
 }
 
-// set gives a setting its value; allowed lists the texts that it may be, none for any.
+// set sets a setting to value. If allowed is not empty, a string must be one of its elements.
 func set(setting reflect.Value, allowed []string, value any) error {
 	switch {
 	case setting.Kind() == reflect.String:
@@ -91,7 +91,7 @@
 func setText(setting reflect.Value, allowed []string, value any) error {
 	text, ok := value.(string)
 	if !ok {
-		return errors.New("needs a text in quotes")
+		return errors.New("needs a quoted string")
 	}
 	if len(allowed) > 0 && !slices.Contains(allowed, text) {
 		return fmt.Errorf("needs one of %q", allowed)
