--- a/cmd/marlwood/ask.go
+++ b/cmd/marlwood/ask.go
@@ -33,12 +33,13 @@
 	JSON      bool     `help:"Print JSON."`
 }
 
-// Exit statuses of commands that call the controllers, besides 0, and 2 for wrong usage.
+// Exit statuses of commands that call the controllers, in addition to 0 for success, 1 for other errors
+// and 2 for wrong usage.
 const (
 	exitNotFound    = 3 // no such job, node, zone, type or drain
-	exitRefused     = 4 // not allowed, or not now: the text says what would allow it
+	exitRefused     = 4 // forbidden, or not possible now; the message states what would allow it
 	exitUnavailable = 5 // no controller answers; nothing was changed
-	exitUnknown     = 6 // it is not known whether the change was made
+	exitUnknown     = 6 // it is unknown whether the change was made
 )
 
 // exitError is an error with an exit status of its own.
@@ -47,7 +48,7 @@
 	err  error
 }
 
-// Error is the text of the cause.
+// Error returns the text of the cause.
 func (e *exitError) Error() string { return e.err.Error() }
 
 // Unwrap returns the cause.
@@ -74,7 +75,7 @@
 	return &exitError{code, errors.New(messageOf(err))}
 }
 
-// messageOf is the message of a gRPC status, without the prefix that gRPC adds.
+// messageOf returns the message of a gRPC status, without the prefix that gRPC adds.
 func messageOf(err error) string {
 	if s, ok := status.FromError(err); ok && s.Message() != "" {
 		return s.Message()
@@ -82,12 +83,12 @@
 	return err.Error()
 }
 
-// withClient calls do with a client, which is closed after it.
-func (a *connection) withClient(do func(ctx context.Context, c *operators.Client) error) error {
-	if a.Cert != "" && (a.CA == "" || a.Key == "") {
+// withClient calls do with a new client and closes the client afterwards. SIGINT and SIGTERM cancel ctx.
+func (conn *connection) withClient(do func(ctx context.Context, c *operators.Client) error) error {
+	if conn.Cert != "" && (conn.CA == "" || conn.Key == "") {
 		return usageError{errors.New("--cert: needs --ca and --key as well")}
 	}
-	c, err := operators.NewClient(a.Operators, a.CA, a.Cert, a.Key)
+	c, err := operators.NewClient(conn.Operators, conn.CA, conn.Cert, conn.Key)
 	if err != nil {
 		return usageError{err}
 	}
@@ -97,17 +98,17 @@
 	return do(ctx, c)
 }
 
-// call makes one call. change tells that it changes something, so that it is not repeated
-// once a controller may have executed it.
-func call[T proto.Message](a *connection, change bool, do func(ctx context.Context, s operatorspb.OperatorsClient) (T, error)) (out T, err error) {
-	err = a.withClient(func(ctx context.Context, c *operators.Client) error {
+// call makes one call. If change is true, the call modifies state, so it is not repeated on another controller
+// once one may have executed it.
+func call[T proto.Message](conn *connection, change bool, do func(ctx context.Context, s operatorspb.OperatorsClient) (T, error)) (out T, err error) {
+	err = conn.withClient(func(ctx context.Context, c *operators.Client) error {
 		out, err = operators.Try(ctx, c, change, do)
 		return commandError(err)
 	})
 	return out, err
 }
 
-// printJSON prints one message.
+// printJSON prints one message as JSON.
 func printJSON(m proto.Message) error {
 	text, err := protojson.MarshalOptions{UseProtoNames: true, EmitUnpopulated: true, Multiline: true}.Marshal(m)
 	if err != nil {
@@ -117,7 +118,7 @@
 	return err
 }
 
-// rowJSON returns one row as JSON, without what is not known.
+// rowJSON returns one row as JSON. It omits the usage figures of a team whose usage is unknown.
 func rowJSON(row proto.Message) ([]byte, error) {
 	text, err := protojson.MarshalOptions{UseProtoNames: true, EmitUnpopulated: true}.Marshal(row)
 	if team, ok := row.(*operatorspb.Team); err != nil || !ok || !team.UsageUnknown {
@@ -151,8 +152,8 @@
 	return nil
 }
 
-// table prints rows below headings, without lines, in columns of minimal width.
-func table(w io.Writer, headings []string, rows [][]string) error {
+// printTable prints rows below headings, without rules between them, in columns of minimal width.
+func printTable(w io.Writer, headings []string, rows [][]string) error {
 	t := tablewriter.NewTable(w,
 		tablewriter.WithRenderer(renderer.NewBlueprint(tw.Rendition{Borders: tw.BorderNone,
 			Settings: tw.Settings{Lines: tw.LinesNone, Separators: tw.SeparatorsNone}})),
@@ -171,8 +172,8 @@
 	return t.Render()
 }
 
-// span formats a duration for a table.
-func span(seconds float64) string {
+// formatDuration formats a duration for a table.
+func formatDuration(seconds float64) string {
 	d := time.Duration(seconds * float64(time.Second))
 	switch {
 	case seconds <= 0:
@@ -185,44 +186,44 @@
 	return strings.TrimSuffix(d.Round(time.Minute).String(), "0s")
 }
 
-// moment formats a time of day for a table, with the time until then.
-func moment(unixMS int64) string {
+// formatTime formats a time of day for a table; for a future time it appends the remaining duration.
+func formatTime(unixMS int64) string {
 	if unixMS == 0 {
 		return "-"
 	}
 	t := time.UnixMilli(unixMS)
 	if left := time.Until(t); left > 0 {
-		return t.Format("15:04:05") + " (in " + span(left.Seconds()) + ")"
+		return t.Format("15:04:05") + " (in " + formatDuration(left.Seconds()) + ")"
 	}
 	return t.Format("15:04:05")
 }
 
-// share formats how much of a limit is used; the limit 0 means none.
-func share(used, limit float64) string {
+// formatUsage formats how much of a limit is used; the limit 0 means that there is none.
+func formatUsage(used, limit float64) string {
 	if limit == 0 {
 		return fmt.Sprintf("%g/-", used)
 	}
 	return fmt.Sprintf("%g/%g", used, limit)
 }
 
-// or replaces an empty text.
-func or(text, empty string) string {
+// orDefault returns text, or fallback if text is empty.
+func orDefault(text, fallback string) string {
 	if text == "" {
-		return empty
+		return fallback
 	}
 	return text
 }
 
-// cut shortens a text for a table.
-func cut(text string, n int) string {
+// truncate shortens a text to at most n characters for a table.
+func truncate(text string, n int) string {
 	if r := []rune(text); len(r) > n {
 		return string(r[:n-1]) + "…"
 	}
 	return text
 }
 
-// parseWhere compiles the flag --where.
-func parseWhere(text string, of proto.Message) (*filter.Filter, error) {
+// parseFilter compiles the flag --where for messages of the given type.
+func parseFilter(text string, of proto.Message) (*filter.Filter, error) {
 	f, err := filter.Parse(text, of)
 	if err != nil {
 		return nil, usageError{fmt.Errorf("--where: %w", err)}
@@ -230,8 +231,8 @@
 	return f, nil
 }
 
-// selected are the rows that a filter matches.
-func selected[T proto.Message](f *filter.Filter, rows []T) (out []T) {
+// filterRows returns the rows that a filter matches.
+func filterRows[T proto.Message](f *filter.Filter, rows []T) (out []T) {
 	for _, r := range rows {
 		if f.Match(r) {
 			out = append(out, r)
--- a/cmd/marlwood/drain.go
+++ b/cmd/marlwood/drain.go
@@ -10,7 +10,7 @@
 	"github.com/marlwood/marlwood/internal/operators/operatorspb"
 )
 
-// drainTarget is what a drain or its end names.
+// drainTarget holds the arguments that select the machines to drain or undrain.
 type drainTarget struct {
 	Node string `arg:"" optional:"" help:"The machine."`
 	Zone string `placeholder:"ZONE" help:"All machines of a zone instead."`
@@ -26,7 +26,7 @@
 	Reason      string        `placeholder:"TEXT" help:"For other operators."`
 }
 
-// Run drains.
+// Run starts a drain.
 func (c *drainCmd) Run() error {
 	out, err := call(&c.connection, true, func(ctx context.Context, s operatorspb.OperatorsClient) (*operatorspb.DrainResponse, error) {
 		return s.Drain(ctx, &operatorspb.DrainRequest{Node: c.Node, Zone: c.Zone, Type: c.Type, DeadlineS: c.Deadline.Seconds(), Keep: c.Keep,
@@ -91,10 +91,10 @@
 		if d.Keep && state == "empty" {
 			state = "empty, kept"
 		}
-		cells = append(cells, []string{cut(d.Target, 24), state, fmt.Sprintf("%d/%d", d.Empty, d.Machines), strconv.Itoa(int(d.Tasks)),
-			moment(d.EmptyUnixMs), moment(d.DeadlineUnixMs), cut(d.Who, 14), cut(d.Reason, 20)})
+		cells = append(cells, []string{truncate(d.Target, 24), state, fmt.Sprintf("%d/%d", d.Empty, d.Machines), strconv.Itoa(int(d.Tasks)),
+			formatTime(d.EmptyUnixMs), formatTime(d.DeadlineUnixMs), truncate(d.Who, 14), truncate(d.Reason, 20)})
 	}
-	if err := table(os.Stdout, []string{"TARGET", "STATE", "EMPTY", "TASKS", "EMPTY AT", "DEADLINE", "BY", "REASON"}, cells); err != nil {
+	if err := printTable(os.Stdout, []string{"TARGET", "STATE", "EMPTY", "TASKS", "EMPTY AT", "DEADLINE", "BY", "REASON"}, cells); err != nil {
 		return err
 	}
 	for _, d := range out.Rows {
--- a/cmd/marlwood/explain.go
+++ b/cmd/marlwood/explain.go
@@ -15,7 +15,7 @@
 	Job        string `arg:"" help:"The job's id."`
 }
 
-// Run tells why a job's tasks are not all running.
+// Run prints the reasons why a job's tasks are not all running.
 func (c *explainCmd) Run() error {
 	out, err := call(&c.connection, false, func(ctx context.Context, s operatorspb.OperatorsClient) (*operatorspb.ExplainResponse, error) {
 		return s.Explain(ctx, &operatorspb.ExplainRequest{Job: c.Job})
@@ -28,7 +28,7 @@
 	}
 	j := out.Job
 	fmt.Printf("%s  %s, %s of team %s: %d tasks, %d done, %d running, %d more placed; accepted %s ago\n", j.Id, j.State, j.Shape, j.Team,
-		j.Tasks, j.Done, j.Running, j.Placed-j.Running, span(j.AgeS))
+		j.Tasks, j.Done, j.Running, j.Placed-j.Running, formatDuration(j.AgeS))
 	if j.Place > 0 {
 		fmt.Printf("place %d of %d in the queue\n", j.Place, out.Queue)
 	}
@@ -38,17 +38,17 @@
 			fmt.Printf("%-15s %s\n", "", strings.Join(r.Names, ", "))
 		}
 		if r.UntilUnixMs > 0 {
-			fmt.Printf("%-15s until %s\n", "", moment(r.UntilUnixMs))
+			fmt.Printf("%-15s until %s\n", "", formatTime(r.UntilUnixMs))
 		}
 	}
 	if len(out.Rooms) > 0 && j.Place > 0 {
 		fmt.Println()
-		if err := printRooms(out.Rooms); err != nil {
+		if err := printCapacity(out.Rooms); err != nil {
 			return err
 		}
 	}
 	for _, h := range out.Hopes {
-		fmt.Printf("\nsoonest: %s  %s", moment(h.AtUnixMs), h.Text)
+		fmt.Printf("\nsoonest: %s  %s", formatTime(h.AtUnixMs), h.Text)
 	}
 	if len(out.Hopes) > 0 {
 		fmt.Println()
@@ -56,7 +56,7 @@
 	return nil
 }
 
-func printRooms(rooms []*operatorspb.Room) error {
+func printCapacity(rooms []*operatorspb.Room) error {
 	var cells [][]string
 	count := func(n uint32) string {
 		if n == 0 {
@@ -67,16 +67,16 @@
 	for _, r := range rooms {
 		refused := "-"
 		if r.RefusedUntilUnixMs > 0 {
-			refused = moment(r.RefusedUntilUnixMs)
+			refused = formatTime(r.RefusedUntilUnixMs)
 		}
 		fetch := "-"
 		if r.FetchS > 0 {
-			fetch = fmt.Sprintf("%d, %s", r.Images, span(r.FetchS))
+			fetch = fmt.Sprintf("%d, %s", r.Images, formatDuration(r.FetchS))
 		}
-		cells = append(cells, []string{cut(r.Type, 10), cut(r.Zone, 12), strconv.Itoa(int(r.Machines)), count(r.Fits), count(r.LackCpus),
+		cells = append(cells, []string{truncate(r.Type, 10), truncate(r.Zone, 12), strconv.Itoa(int(r.Machines)), count(r.Fits), count(r.LackCpus),
 			count(r.LackMemory), count(r.LackGpus), count(r.Kept), count(r.Drained + r.Retiring + r.Out), fetch, count(r.Booting), refused})
 	}
-	return table(os.Stdout, []string{"TYPE", "ZONE", "NODES", "FITS", "CPUS-", "GB-", "GPUS-", "KEPT", "OUT", "IMAGE", "BOOT", "REFUSED"}, cells)
+	return printTable(os.Stdout, []string{"TYPE", "ZONE", "NODES", "FITS", "CPUS-", "GB-", "GPUS-", "KEPT", "OUT", "IMAGE", "BOOT", "REFUSED"}, cells)
 }
 
 type blockersCmd struct {
@@ -84,7 +84,7 @@
 	Job        string `arg:"" help:"The job's id."`
 }
 
-// Run tells which tasks hold the room that a job lacks.
+// Run lists the tasks that occupy the capacity that a job lacks.
 func (c *blockersCmd) Run() error {
 	out, err := call(&c.connection, false, func(ctx context.Context, s operatorspb.OperatorsClient) (*operatorspb.BlockersResponse, error) {
 		return s.Blockers(ctx, &operatorspb.BlockersRequest{Job: c.Job})
@@ -110,17 +110,17 @@
 	fmt.Println()
 	var cells [][]string
 	for _, h := range out.Holders {
-		may := "no: "
+		mayStop := "no: "
 		if h.MayStop {
-			may = "yes: "
+			mayStop = "yes: "
 		}
-		left := span(h.LeftS)
+		left := formatDuration(h.LeftS)
 		if h.LeftS < 0 {
 			left = "never"
 		}
-		cells = append(cells, []string{cut(h.Task, 22), cut(h.Node, 14), cut(h.Team, 10), h.Priority, fmt.Sprintf("%g", h.Cpus), left, cut(may+h.Why, 40)})
+		cells = append(cells, []string{truncate(h.Task, 22), truncate(h.Node, 14), truncate(h.Team, 10), h.Priority, fmt.Sprintf("%g", h.Cpus), left, truncate(mayStop+h.Why, 40)})
 	}
-	if err := table(os.Stdout, []string{"TASK", "NODE", "TEAM", "PRIORITY", "CPUS", "ENDS IN", "MAY BE STOPPED"}, cells); err != nil {
+	if err := printTable(os.Stdout, []string{"TASK", "NODE", "TEAM", "PRIORITY", "CPUS", "ENDS IN", "MAY BE STOPPED"}, cells); err != nil {
 		return err
 	}
 	if out.More > 0 {
--- a/cmd/marlwood/keys.go
+++ b/cmd/marlwood/keys.go
@@ -32,7 +32,7 @@
 	Name    string        `default:"marlwood operators" help:"Its name."`
 }
 
-// Run makes an authority.
+// Run makes a certificate authority.
 func (c *keysCACmd) Run() error {
 	if err := keyError(operators.MakeCA(c.Dir, c.Name, c.Lasts)); err != nil {
 		return err
@@ -48,7 +48,7 @@
 }
 
 // Run makes a controller's certificate.
-func (c *keysNodeCmd) Run() error { return c.make(c.Name, operators.NodeRole, c.Hosts) }
+func (c *keysNodeCmd) Run() error { return c.makeCertificate(c.Name, operators.NodeRole, c.Hosts) }
 
 type keysOperatorCmd struct {
 	keysValidity `embed:""`
@@ -56,7 +56,7 @@
 }
 
 // Run makes an operator's certificate.
-func (c *keysOperatorCmd) Run() error { return c.make(c.Name, operators.Operator, nil) }
+func (c *keysOperatorCmd) Run() error { return c.makeCertificate(c.Name, operators.Operator, nil) }
 
 type keysViewerCmd struct {
 	keysValidity `embed:""`
@@ -64,9 +64,9 @@
 }
 
 // Run makes a viewer's certificate.
-func (c *keysViewerCmd) Run() error { return c.make(c.Name, operators.Viewer, nil) }
+func (c *keysViewerCmd) Run() error { return c.makeCertificate(c.Name, operators.Viewer, nil) }
 
-func (c *keysValidity) make(name, role string, hosts []string) error {
+func (c *keysValidity) makeCertificate(name, role string, hosts []string) error {
 	if !model.ValidID(name) || name == "ca" {
 		return usageError{fmt.Errorf("name: %q cannot be one: letters, digits, - _ and . only, and not ca", name)}
 	}
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// keyError ends the program with status 2 where the files do not allow it.
+// keyError returns err as a usageError if a file would be overwritten or a file or directory is missing.
 func keyError(err error) error {
 	if errors.Is(err, operators.ErrExists) {
 		return usageError{err}
--- a/cmd/marlwood/lab.go
+++ b/cmd/marlwood/lab.go
@@ -36,16 +36,16 @@
 	Ports    int           `default:"7400" help:"First of the three ports for operators."`
 }
 
-// How often the screen of a lab is drawn, and a line written where there is none.
+// Intervals at which a lab redraws its screen on a terminal, and prints a line where there is no terminal.
 const (
 	labScreenInterval = time.Second
 	reportInterval    = 5 * time.Second
 )
 
-// errRuleBroken ends the program with status 1.
+// errRuleBroken reports that a rule was broken in the lab; the program ends with status 1.
 var errRuleBroken = errors.New("a rule was broken")
 
-// Run runs a lab.
+// Run runs a lab until the process receives SIGINT or SIGTERM, or until the time of --for has passed.
 func (c *labRunCmd) Run() error {
 	s, err := lab.LoadScenario(c.Scenario)
 	if err != nil {
@@ -67,7 +67,7 @@
 		if err != nil {
 			return usageError{err}
 		}
-		defer func() { _ = f.Close() }() // a log: what is lost of it is no failure of the lab
+		defer func() { _ = f.Close() }() // an incomplete log is no failure of the lab
 		options.Log = f
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
@@ -91,40 +91,40 @@
 	return nil
 }
 
-// show shows the lab until ctx ends.
+// show prints the lab's state at intervals until ctx ends.
 func (c *labRunCmd) show(ctx context.Context, cluster *lab.Lab) error {
 	client, err := operators.NewClient(cluster.Operators(), "", "", "")
 	if err != nil {
 		return err
 	}
 	defer client.Close()
-	fmt.Print(addresses(cluster))
+	fmt.Print(addressSummary(cluster))
 	live := term.IsTerminal(int(os.Stdout.Fd()))
-	every := reportInterval
+	interval := reportInterval
 	if live {
-		every = labScreenInterval
+		interval = labScreenInterval
 	}
 	for {
 		select {
 		case <-ctx.Done():
-			fmt.Println("\nthe lab ends: " + counts(cluster))
+			fmt.Println("\nthe lab ends: " + countSummary(cluster))
 			return nil
-		case <-time.After(every):
+		case <-time.After(interval):
 		}
 		if !live {
-			fmt.Println(counts(cluster))
+			fmt.Println(countSummary(cluster))
 			continue
 		}
-		text, err := screen(ctx, client)
+		text, err := renderScreen(ctx, client)
 		if err != nil {
 			text += messageOf(err) + "\n"
 		}
-		draw(addresses(cluster) + counts(cluster) + "\n\n" + text)
+		drawScreen(addressSummary(cluster) + countSummary(cluster) + "\n\n" + text)
 	}
 }
 
-// addresses lists where users, operators and faults reach the lab.
-func addresses(l *lab.Lab) string {
+// addressSummary returns a text that lists the lab's addresses for users, operators and fault requests.
+func addressSummary(l *lab.Lab) string {
 	note := ""
 	if !slices.Equal(l.Operators(), []string{"127.0.0.1:7400", "127.0.0.1:7401", "127.0.0.1:7402"}) {
 		note = "  (export MARLWOOD_OPERATORS=" + strings.Join(l.Operators(), ",") + ")"
@@ -133,8 +133,8 @@
 		"users      http://%s\noperators  %s%s\nfaults     %s\n", strings.Join(l.Users(), "  http://"), strings.Join(l.Operators(), "  "), note, l.Control())
 }
 
-// counts sums up what happened in the lab so far.
-func counts(l *lab.Lab) string {
+// countSummary returns a line that summarizes what happened in the lab so far.
+func countSummary(l *lab.Lab) string {
 	var down []string
 	for _, name := range lab.Controllers {
 		if !l.Up()[name] {
@@ -143,7 +143,7 @@
 	}
 	c := l.Counts()
 	return fmt.Sprintf("%d jobs submitted, %d accepted, %d done, %d cancelled; %d tasks run on %d machines, %d started, %v of CPU time lost; rules broken: %d; down: %s",
-		c.Submitted, c.Accepted, c.Done, c.Cancelled, c.Running, c.Machines, c.Started, c.WastedCPUTime.Round(time.Second), len(l.Broken()), or(strings.Join(down, ", "), "none"))
+		c.Submitted, c.Accepted, c.Done, c.Cancelled, c.Running, c.Machines, c.Started, c.WastedCPUTime.Round(time.Second), len(l.Broken()), orDefault(strings.Join(down, ", "), "none"))
 }
 
 type labFaultCmd struct {
@@ -154,7 +154,7 @@
 	Control string        `default:"127.0.0.1:7399" placeholder:"ADDR" help:"The lab's address for faults."`
 }
 
-// Help lists the faults.
+// Help returns a description of each fault.
 func (c *labFaultCmd) Help() string {
 	var b strings.Builder
 	for _, f := range lab.FaultOps {
@@ -163,7 +163,7 @@
 	return b.String()
 }
 
-// Run asks a lab for a fault.
+// Run sends a fault request to a running lab.
 func (c *labFaultCmd) Run() error {
 	text, err := json.Marshal(lab.Fault{Op: c.Op, Name: c.Name, To: c.To, For: c.For})
 	if err != nil {
@@ -175,14 +175,14 @@
 		return &exitError{exitUnavailable, fmt.Errorf("no lab listens at %s: start one with marlwood lab, or name its address with --control", c.Control)}
 	}
 	defer func() { _ = resp.Body.Close() }()
-	var answer struct {
+	var reply struct {
 		Error string `json:"error"`
 	}
-	if err := json.NewDecoder(resp.Body).Decode(&answer); err != nil {
+	if err := json.NewDecoder(resp.Body).Decode(&reply); err != nil {
 		return err
 	}
-	if answer.Error != "" {
-		return usageError{errors.New(answer.Error)}
+	if reply.Error != "" {
+		return usageError{errors.New(reply.Error)}
 	}
 	return nil
 }
--- a/cmd/marlwood/main.go
+++ b/cmd/marlwood/main.go
@@ -22,7 +22,7 @@
 	"github.com/marlwood/marlwood/internal/settings"
 )
 
-// cli is the command line.
+// cli defines the commands and flags of the program.
 type cli struct {
 	Serve       serveCmd                     `cmd:"" help:"Run a controller."`
 	Check       checkCmd                     `cmd:"" help:"Check settings without starting."`
@@ -60,10 +60,10 @@
 
 type versionCmd struct{}
 
-// usageError is a mistake in arguments or files; it ends the program with status 2.
+// usageError reports a mistake in arguments or files; it ends the program with status 2.
 type usageError struct{ error }
 
-// loadSettings reads and checks both files.
+// loadSettings reads and validates the platform's and the operators' settings files.
 func loadSettings(config, operator string) (*settings.Platform, *settings.Operator, error) {
 	p, err := settings.LoadPlatform(config)
 	if err != nil {
@@ -79,7 +79,7 @@
 	return p, o, nil
 }
 
-// Run serves until the process gets SIGINT or SIGTERM.
+// Run runs a controller until the process receives SIGINT or SIGTERM.
 func (c *serveCmd) Run() error {
 	p, o, err := loadSettings(c.Config, c.Settings)
 	if err != nil {
@@ -92,7 +92,7 @@
 		}
 	}
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
-	// The share of one core that a controller gets pays for no second thread.
+	// A controller gets only a share of one core, which does not justify a second thread.
 	runtime.GOMAXPROCS(1)
 	debug.SetGCPercent(o.Service.HeapGrowth)
 	debug.SetMemoryLimit(int64(p.MemoryMB * o.Service.MemoryShare * (1 << 20)))
@@ -105,7 +105,7 @@
 	return node.Run(ctx)
 }
 
-// Run checks both files and says what it read.
+// Run validates both files and prints a summary of them, or compares a file with the running settings.
 func (c *checkCmd) Run() error {
 	if c.Running {
 		return c.compare()
@@ -133,7 +133,7 @@
 	var c cli
 	parser := kong.Must(&c, kong.Name("marlwood"), kong.Description("A cluster scheduler for rented machines."), kong.UsageOnError(), kong.Exit(exit),
 		kong.ExplicitGroups([]kong.Group{{Key: "ask", Title: "Ask the controllers:"}}))
-	kongplete.Complete(parser) // ends here if a shell asks what a line could go on with
+	kongplete.Complete(parser) // exits here when a shell requests completions
 	ctx, err := parser.Parse(os.Args[1:])
 	parser.FatalIfErrorf(err)
 	if err := ctx.Run(); err != nil {
@@ -145,7 +145,7 @@
 // usageStatus is the exit status of the argument parser for wrong usage.
 const usageStatus = 80
 
-// exit ends the program; wrong usage has the status 2.
+// exit ends the program, with status 2 for wrong usage.
 func exit(code int) {
 	if code == usageStatus {
 		code = 2
@@ -153,14 +153,14 @@
 	os.Exit(code)
 }
 
-// exitStatus is the exit status for an error: 2 for wrong arguments or files.
+// exitStatus returns the exit status for an error: that of an exitError, 2 for wrong arguments or files, else 1.
 func exitStatus(err error) int {
-	var bad usageError
-	var exit *exitError
-	if errors.As(err, &exit) {
-		return exit.code
+	var usage usageError
+	var withStatus *exitError
+	if errors.As(err, &withStatus) {
+		return withStatus.code
 	}
-	if errors.As(err, &bad) || errors.Is(err, record.ErrFormat) {
+	if errors.As(err, &usage) || errors.Is(err, record.ErrFormat) {
 		return 2
 	}
 	return 1
--- a/cmd/marlwood/record.go
+++ b/cmd/marlwood/record.go
@@ -32,7 +32,7 @@
 // syncInterval bounds how much of a recording a crash of the machine loses.
 const syncInterval = time.Second
 
-// Run follows until the process is told to end.
+// Run follows the leader through takeovers and records what it sends, until the process receives SIGINT or SIGTERM.
 func (c *recordFollowCmd) Run() error {
 	for _, addr := range c.From {
 		if _, err := netip.ParseAddrPort(addr); err != nil {
@@ -61,18 +61,18 @@
 		return nil
 	})
 	err = errors.Join(err, w.Close())
-	log.Info("recorded", "frames", w.Frames, "missing", w.Missing)
+	log.Info("recording ended", "frames", w.Frames, "missing", w.Missing)
 	return err
 }
 
-// openRecording opens a directory for writing and logs what was truncated.
+// openRecording opens a recording for writing and logs each file that was truncated.
 func openRecording(dir string, segmentLimit int64, log *slog.Logger) (*record.Writer, error) {
 	w, err := record.OpenWriter(dir, segmentLimit)
 	if err != nil {
 		return nil, err
 	}
 	for _, d := range w.Truncated {
-		log.Warn("a torn block was cut off", "file", d.Path, "offset", d.Offset, "err", d.Err)
+		log.Warn("truncated a torn block", "file", d.Path, "offset", d.Offset, "err", d.Err)
 	}
 	return w, nil
 }
@@ -85,7 +85,7 @@
 	Out string `required:"" placeholder:"DIR" help:"Where the recording is written."`
 }
 
-// Run reads the log to its end.
+// Run makes a recording from the whole log.
 func (c *recordImportCmd) Run() error {
 	in := io.Reader(os.Stdin)
 	if c.Log != "-" {
@@ -93,7 +93,7 @@
 		if err != nil {
 			return usageError{err}
 		}
-		defer func() { _ = f.Close() }() // it is only read
+		defer func() { _ = f.Close() }() // the file is only read
 		in = f
 	}
 	w, err := openRecording(c.Out, importSegmentLimit, slog.New(slog.NewTextHandler(os.Stderr, nil)))
@@ -116,10 +116,10 @@
 	JSON bool   `help:"Print JSON."`
 }
 
-// errDamaged ends the program with status 1.
+// errDamaged reports an incomplete recording; the program ends with status 1.
 var errDamaged = errors.New("the recording is not whole")
 
-// Run reads the whole recording.
+// Run reads the whole recording and reports damage.
 func (c *recordVerifyCmd) Run() error {
 	found, err := record.Read(c.Dir, func(string, *recordpb.Frame) error { return nil })
 	if err != nil {
@@ -140,7 +140,7 @@
 	return nil
 }
 
-// missingInput makes a usageError of an error that tells that a file or directory is missing.
+// missingInput returns err as a usageError if a file or directory is missing, else err itself.
 func missingInput(err error) error {
 	if errors.Is(err, os.ErrNotExist) {
 		return usageError{err}
--- a/cmd/marlwood/replay.go
+++ b/cmd/marlwood/replay.go
@@ -15,7 +15,7 @@
 
 const replayProgram = "marlwood-replay"
 
-// Run becomes the program that replays: the one beside this one, else the one in PATH.
+// Run replaces this process by marlwood-replay: the one in the directory of this program, else the one in PATH.
 func (c *replayCmd) Run() error {
 	path := ""
 	if self, err := os.Executable(); err == nil {
--- a/cmd/marlwood/rows.go
+++ b/cmd/marlwood/rows.go
@@ -17,20 +17,20 @@
 	Where      string `placeholder:"FILTER" help:"Only these, as in: team = grafo and wait > 30s and zone in (lambrate, bovisa)."`
 }
 
-// pages requests page after page and returns all rows. name returns the key of a row, after
-// which the next page starts.
-func pages[T any](a *connection, page func(ctx context.Context, s operatorspb.OperatorsClient, after string) (rows []T, more bool, err error),
+// fetchPages requests one page after the other and returns all rows. name returns the key of a row; the next page
+// starts after the key of the last row.
+func fetchPages[T any](conn *connection, page func(ctx context.Context, s operatorspb.OperatorsClient, after string) (rows []T, more bool, err error),
 	name func(T) string) (all []T, err error) {
-	type one struct {
+	type result struct {
 		rows []T
 		more bool
 	}
-	err = a.withClient(func(ctx context.Context, c *operators.Client) error {
+	err = conn.withClient(func(ctx context.Context, c *operators.Client) error {
 		after := ""
 		for {
-			p, err := operators.Try(ctx, c, false, func(ctx context.Context, s operatorspb.OperatorsClient) (one, error) {
+			p, err := operators.Try(ctx, c, false, func(ctx context.Context, s operatorspb.OperatorsClient) (result, error) {
 				rows, more, err := page(ctx, s, after)
-				return one{rows, more}, err
+				return result{rows, more}, err
 			})
 			if err != nil {
 				return commandError(err)
@@ -47,18 +47,18 @@
 
 // Run lists jobs.
 func (c *jobsCmd) Run() error {
-	where, err := parseWhere(c.Where, &operatorspb.Job{})
+	where, err := parseFilter(c.Where, &operatorspb.Job{})
 	if err != nil {
 		return err
 	}
-	rows, err := pages(&c.connection, func(ctx context.Context, s operatorspb.OperatorsClient, after string) ([]*operatorspb.Job, bool, error) {
+	rows, err := fetchPages(&c.connection, func(ctx context.Context, s operatorspb.OperatorsClient, after string) ([]*operatorspb.Job, bool, error) {
 		out, err := s.Jobs(ctx, &operatorspb.JobsRequest{After: after})
 		return out.GetRows(), out.GetMore(), err
 	}, func(r *operatorspb.Job) string { return r.Id })
 	if err != nil {
 		return err
 	}
-	if rows = selected(where, rows); c.JSON {
+	if rows = filterRows(where, rows); c.JSON {
 		return printRows(rows)
 	}
 	return writeJobs(os.Stdout, rows)
@@ -71,10 +71,10 @@
 		if r.Place > 0 {
 			place = strconv.Itoa(int(r.Place))
 		}
-		cells = append(cells, []string{cut(r.Id, 24), cut(r.Team, 12), cut(r.Class, 14), r.Shape, r.Priority, r.State,
-			fmt.Sprintf("%d/%d/%d", r.Done, r.Running, r.Tasks), place, span(r.AgeS), span(r.WaitS)})
+		cells = append(cells, []string{truncate(r.Id, 24), truncate(r.Team, 12), truncate(r.Class, 14), r.Shape, r.Priority, r.State,
+			fmt.Sprintf("%d/%d/%d", r.Done, r.Running, r.Tasks), place, formatDuration(r.AgeS), formatDuration(r.WaitS)})
 	}
-	return table(w, []string{"JOB", "TEAM", "CLASS", "SHAPE", "PRIORITY", "STATE", "DONE/RUN/ALL", "PLACE", "AGE", "NO ROOM"}, cells)
+	return printTable(w, []string{"JOB", "TEAM", "CLASS", "SHAPE", "PRIORITY", "STATE", "DONE/RUN/ALL", "PLACE", "AGE", "NO ROOM"}, cells)
 }
 
 type nodesCmd struct {
@@ -84,18 +84,18 @@
 
 // Run lists machines.
 func (c *nodesCmd) Run() error {
-	where, err := parseWhere(c.Where, &operatorspb.Node{})
+	where, err := parseFilter(c.Where, &operatorspb.Node{})
 	if err != nil {
 		return err
 	}
-	rows, err := pages(&c.connection, func(ctx context.Context, s operatorspb.OperatorsClient, after string) ([]*operatorspb.Node, bool, error) {
+	rows, err := fetchPages(&c.connection, func(ctx context.Context, s operatorspb.OperatorsClient, after string) ([]*operatorspb.Node, bool, error) {
 		out, err := s.Nodes(ctx, &operatorspb.NodesRequest{After: after})
 		return out.GetRows(), out.GetMore(), err
 	}, func(r *operatorspb.Node) string { return r.Name })
 	if err != nil {
 		return err
 	}
-	if rows = selected(where, rows); c.JSON {
+	if rows = filterRows(where, rows); c.JSON {
 		return printRows(rows)
 	}
 	var cells [][]string
@@ -107,7 +107,7 @@
 		case r.Cordoned:
 			note = "takes no tasks"
 		case r.RecallS >= 0:
-			note = "recalled in " + span(r.RecallS)
+			note = "recalled in " + formatDuration(r.RecallS)
 		case r.Retiring:
 			note = "retiring"
 		}
@@ -115,10 +115,10 @@
 		if r.Spot {
 			spot = "spot"
 		}
-		cells = append(cells, []string{cut(r.Name, 20), cut(r.Type, 10), cut(r.Zone, 12), spot, r.Phase, share(r.UsedCpus, r.Cpus),
-			share(r.UsedGpus, r.Gpus), share(r.UsedMemoryGb, r.MemoryGb), strconv.Itoa(int(r.Tasks)), span(r.AgeS), cut(note, 24)})
+		cells = append(cells, []string{truncate(r.Name, 20), truncate(r.Type, 10), truncate(r.Zone, 12), spot, r.Phase, formatUsage(r.UsedCpus, r.Cpus),
+			formatUsage(r.UsedGpus, r.Gpus), formatUsage(r.UsedMemoryGb, r.MemoryGb), strconv.Itoa(int(r.Tasks)), formatDuration(r.AgeS), truncate(note, 24)})
 	}
-	return table(os.Stdout, []string{"NODE", "TYPE", "ZONE", "SPOT", "PHASE", "CPUS", "GPUS", "GB", "TASKS", "AGE", "NOTE"}, cells)
+	return printTable(os.Stdout, []string{"NODE", "TYPE", "ZONE", "SPOT", "PHASE", "CPUS", "GPUS", "GB", "TASKS", "AGE", "NOTE"}, cells)
 }
 
 type teamsCmd struct {
@@ -128,7 +128,7 @@
 
 // Run lists teams.
 func (c *teamsCmd) Run() error {
-	where, err := parseWhere(c.Where, &operatorspb.Team{})
+	where, err := parseFilter(c.Where, &operatorspb.Team{})
 	if err != nil {
 		return err
 	}
@@ -138,7 +138,7 @@
 	if err != nil {
 		return err
 	}
-	rows := selected(where, out.Rows)
+	rows := filterRows(where, out.Rows)
 	if c.JSON {
 		return printRows(rows)
 	}
@@ -147,23 +147,23 @@
 
 func writeTeams(w io.Writer, rows []*operatorspb.Team) error {
 	head := []string{"TEAM", "CPUS/LIMIT", "GUARANTEED", "GPUS/LIMIT", "GUARANTEED", "JOBS", "PLACED", "UNPLACED"}
-	kept := slices.ContainsFunc(rows, func(r *operatorspb.Team) bool { return r.UsageUnknown || r.RunCpuH+r.WaitCpuH > 0 })
-	if kept {
+	usageRecorded := slices.ContainsFunc(rows, func(r *operatorspb.Team) bool { return r.UsageUnknown || r.RunCpuH+r.WaitCpuH > 0 })
+	if usageRecorded {
 		head = append(head, "CPU-H RUN", "WAITED", "REPEATED")
 	}
 	var cells [][]string
 	for _, r := range rows {
-		row := []string{cut(r.Name, 24), share(r.Cpus, r.LimitCpus), fmt.Sprintf("%g", r.GuaranteedCpus), share(r.Gpus, r.LimitGpus),
+		row := []string{truncate(r.Name, 24), formatUsage(r.Cpus, r.LimitCpus), fmt.Sprintf("%g", r.GuaranteedCpus), formatUsage(r.Gpus, r.LimitGpus),
 			fmt.Sprintf("%g", r.GuaranteedGpus), strconv.Itoa(int(r.Jobs)), strconv.Itoa(int(r.Placed)), strconv.Itoa(int(r.Unplaced))}
-		if kept {
+		if usageRecorded {
 			row = append(row, usageCells(r)...)
 		}
 		cells = append(cells, row)
 	}
-	return table(w, head, cells)
+	return printTable(w, head, cells)
 }
 
-// usageCells are the cells of what a team has used.
+// usageCells returns the cells of the columns that show a team's usage.
 func usageCells(r *operatorspb.Team) []string {
 	if r.UsageUnknown {
 		return []string{"?", "?", "?"}
@@ -190,11 +190,11 @@
 	return nil
 }
 
-// writeStatus writes the cluster's state in a few lines. It ignores errors of w, the
-// command's output or a buffer.
+// writeStatus writes the cluster's state in a few lines. It ignores write errors, as w is the command's output
+// or a buffer.
 func writeStatus(w io.Writer, s *operatorspb.StatusResponse) {
 	if s.Token == 0 {
-		_, _ = fmt.Fprintf(w, "%s answers and does not lead; the leader it knows: %s\n", s.Member, or(s.Leader, "none"))
+		_, _ = fmt.Fprintf(w, "%s answers and does not lead; the leader it knows: %s\n", s.Member, orDefault(s.Leader, "none"))
 		return
 	}
 	state := "takes its office over"
@@ -204,7 +204,7 @@
 	_, _ = fmt.Fprintf(w, "leader   %s, for %s, token %d: %s (version %s)\n"+
 		"machines %d, %d not heard of, %d booting; %g of %g CPUs in use\n"+
 		"jobs     %d open, %d wait for others; %d tasks placed, %d not\n",
-		s.Leader, span(s.LeadingS), s.Token, state, s.Version,
+		s.Leader, formatDuration(s.LeadingS), s.Token, state, s.Version,
 		s.Machines, s.Unseen, s.Booting, s.UsedCpus, s.Cpus,
 		s.Jobs, s.Waiting, s.Placed, s.Unplaced)
 }
--- a/cmd/marlwood/script_test.go
+++ b/cmd/marlwood/script_test.go
@@ -20,19 +20,20 @@
 	testscript.Main(m, map[string]func(){"marlwood": main})
 }
 
-// Ports of labs lie below those that the system gives to connections and to listeners that ask for any.
+// The ports of labs lie below the range from which the system assigns ports to outgoing connections and to listeners
+// that request any free port.
 const (
-	leastPort = 18_000
-	mostPort  = 32_000
+	minPort = 18_000
+	maxPort = 32_000
 )
 
-// reservePorts reserves four ports in a row, and returns the first and what gives them back.
+// reservePorts reserves four consecutive ports. It returns the first one and a function that releases all four.
 //
-// Guard: ports that were tried and given back were other labs', or connections', before the lab took them: a script
-// then spoke to another lab.
+// Guard: when ports were only probed and released, another lab or a connection could take them before the script's own
+// lab did; the script then talked to another lab.
 func reservePorts() (first int, release func(), err error) {
 	for range 100 {
-		first = leastPort + rand.IntN(mostPort-leastPort)
+		first = minPort + rand.IntN(maxPort-minPort)
 		var reserved []*loopback.Reservation
 		release = func() {
 			for _, reservation := range reserved {
@@ -51,12 +52,12 @@
 		}
 		release()
 	}
-	return 0, nil, fmt.Errorf("no four ports in a row are free")
+	return 0, nil, fmt.Errorf("no four consecutive ports are free")
 }
 
-// Every command as its users type it, against a lab. $PORTS is the first of three ports
-// for operators, $CONTROL where the lab's faults are asked for. until SPAN PATTERN COMMAND
-// repeats a command until its standard output matches.
+// TestScripts runs the commands against labs, as users type them. $PORTS is the first of three ports for operators,
+// $CONTROL is the lab's address for fault requests. until SPAN PATTERN COMMAND repeats a command until its standard
+// output matches the pattern, and fails after SPAN.
 func TestScripts(t *testing.T) {
 	all, err := filepath.Glob("testdata/script/*.txtar")
 	if err != nil || len(all) == 0 {
@@ -65,15 +66,16 @@
 	runScripts(t, slices.DeleteFunc(all, func(file string) bool { return file == drainScript }))
 }
 
-// drainScript is long and goes by what a lab does within some seconds; it is a test of its own.
+// drainScript takes long and depends on what a lab does within some seconds, so a separate test runs it.
 const drainScript = "testdata/script/drain.txtar"
 
-// Drains on a lab, whatever happens meanwhile.
+// TestDrainScript guards against drains that split a gang or are lost when the leader is killed or isolated, the store
+// refuses connections, or the machine hangs. The lab itself counts gangs that run with missing pieces.
 func TestDrainScript(t *testing.T) {
 	runScripts(t, []string{drainScript})
 }
 
-// runScripts plays scripts, each against a lab of its own.
+// runScripts runs scripts, each with its own working directory and ports for a lab.
 func runScripts(t *testing.T, files []string) {
 	t.Helper()
 	testscript.Run(t, testscript.Params{
@@ -104,11 +106,11 @@
 					if out := ts.ReadFile("stdout"); pattern.MatchString(out) {
 						return
 					} else if time.Now().After(end) {
-						ts.Fatalf("%q does not come: %v\n%s%s", args[1], err, out, ts.ReadFile("stderr"))
+						ts.Fatalf("no output matches %q in time: %v\n%s%s", args[1], err, out, ts.ReadFile("stderr"))
 					}
 				}
 			},
-			// first-node sets an environment variable to the first machine in the last output.
+			// first-node sets an environment variable to the first machine in the last standard output.
 			"first-node": func(ts *testscript.TestScript, _ bool, args []string) {
 				name := regexp.MustCompile(`vm-\d+`).FindString(ts.ReadFile("stdout"))
 				if name == "" {
@@ -116,7 +118,7 @@
 				}
 				ts.Setenv(args[0], name)
 			},
-			// leader sets LEADER to the controller that leads.
+			// leader sets LEADER to the leader's name in the last standard output.
 			"leader": func(ts *testscript.TestScript, _ bool, _ []string) {
 				m := regexp.MustCompile(`(?m)^leader +([a-z0-9-]+),`).FindStringSubmatch(ts.ReadFile("stdout"))
 				if m == nil {
@@ -124,6 +126,7 @@
 				}
 				ts.Setenv("LEADER", m[1])
 			},
+			// absent fails if the working directory contains a file whose name matches a pattern.
 			"absent": func(ts *testscript.TestScript, _ bool, args []string) {
 				entries, err := os.ReadDir(ts.MkAbs("."))
 				ts.Check(err)
--- a/cmd/marlwood/settings.go
+++ b/cmd/marlwood/settings.go
@@ -11,7 +11,7 @@
 	"github.com/marlwood/marlwood/internal/operators/operatorspb"
 )
 
-// compare tells what a settings file would change of what runs.
+// compare prints how a settings file differs from the running settings.
 func (c *checkCmd) compare() error {
 	text, err := os.ReadFile(c.Config)
 	if err != nil {
@@ -36,13 +36,13 @@
 func printChanges(changes []*operatorspb.Change) error {
 	var cells [][]string
 	for _, ch := range changes {
-		how := "reload"
+		appliedBy := "reload"
 		if ch.Restart {
-			how = "RESTART"
+			appliedBy = "RESTART"
 		}
-		cells = append(cells, []string{ch.Name, cut(ch.Running, 14), cut(ch.Next, 14), how, cut(ch.Note, 36)})
+		cells = append(cells, []string{ch.Name, truncate(ch.Running, 14), truncate(ch.Next, 14), appliedBy, truncate(ch.Note, 36)})
 	}
-	return table(os.Stdout, []string{"SETTING", "RUNNING", "NEXT", "BY", "WHAT IT IS"}, cells)
+	return printTable(os.Stdout, []string{"SETTING", "RUNNING", "NEXT", "BY", "WHAT IT IS"}, cells)
 }
 
 type reloadCmd struct {
@@ -51,7 +51,7 @@
 	Reason     string `placeholder:"TEXT" help:"For other operators."`
 }
 
-// Run reloads.
+// Run puts the file's settings in force on all controllers, or on none.
 func (c *reloadCmd) Run() error {
 	text, err := os.ReadFile(c.File)
 	if err != nil {
@@ -60,14 +60,14 @@
 	return reload(&c.connection, &operatorspb.ReloadRequest{Text: string(text), Reason: c.Reason})
 }
 
-func reload(a *connection, q *operatorspb.ReloadRequest) error {
-	out, err := call(a, true, func(ctx context.Context, s operatorspb.OperatorsClient) (*operatorspb.ReloadResponse, error) {
-		return s.Reload(ctx, q)
+func reload(conn *connection, request *operatorspb.ReloadRequest) error {
+	out, err := call(conn, true, func(ctx context.Context, s operatorspb.OperatorsClient) (*operatorspb.ReloadResponse, error) {
+		return s.Reload(ctx, request)
 	})
 	if err != nil {
 		return err
 	}
-	if a.JSON {
+	if conn.JSON {
 		return printJSON(out)
 	}
 	fmt.Printf("settings %d are in force; adopted by %s\n", out.Number, strings.Join(out.Adopted, ", "))
@@ -88,9 +88,9 @@
 	Where      string `placeholder:"FILTER" help:"Only these, as in: name ~ fleet and not restart."`
 }
 
-// Run shows what is in force.
+// Run shows the settings in force.
 func (c *settingsShowCmd) Run() error {
-	where, err := parseWhere(c.Where, &operatorspb.Setting{})
+	where, err := parseFilter(c.Where, &operatorspb.Setting{})
 	if err != nil {
 		return err
 	}
@@ -100,27 +100,27 @@
 	if err != nil {
 		return err
 	}
-	rows := selected(where, out.Fields)
+	rows := filterRows(where, out.Fields)
 	if c.JSON {
 		return printRows(rows)
 	}
 	fmt.Printf("settings %d of the leader\n", out.Number)
 	var cells [][]string
 	for _, f := range rows {
-		how := "reload"
+		appliedBy := "reload"
 		if f.Restart {
-			how = "restart"
+			appliedBy = "restart"
 		}
-		cells = append(cells, []string{f.Name, cut(f.Value, 16), how, cut(f.Note, 46)})
+		cells = append(cells, []string{f.Name, truncate(f.Value, 16), appliedBy, truncate(f.Note, 46)})
 	}
-	return table(os.Stdout, []string{"SETTING", "VALUE", "BY", "WHAT IT IS"}, cells)
+	return printTable(os.Stdout, []string{"SETTING", "VALUE", "BY", "WHAT IT IS"}, cells)
 }
 
 type settingsHistoryCmd struct {
 	connection `embed:""`
 }
 
-// Run lists the records.
+// Run lists the settings that were put in force.
 func (c *settingsHistoryCmd) Run() error {
 	out, err := call(&c.connection, false, func(ctx context.Context, s operatorspb.OperatorsClient) (*operatorspb.SettingsResponse, error) {
 		return s.Settings(ctx, &operatorspb.SettingsRequest{Past: true})
@@ -137,10 +137,10 @@
 		if r.Number == out.Number {
 			note = "in force"
 		}
-		cells = append(cells, []string{strconv.FormatUint(r.Number, 10), time.UnixMilli(r.AtUnixMs).Format("2006-01-02 15:04:05"), cut(r.Who, 20),
-			cut(r.Reason, 30), note})
+		cells = append(cells, []string{strconv.FormatUint(r.Number, 10), time.UnixMilli(r.AtUnixMs).Format("2006-01-02 15:04:05"), truncate(r.Who, 20),
+			truncate(r.Reason, 30), note})
 	}
-	return table(os.Stdout, []string{"NUMBER", "AT", "BY", "REASON", ""}, cells)
+	return printTable(os.Stdout, []string{"NUMBER", "AT", "BY", "REASON", ""}, cells)
 }
 
 type settingsRollbackCmd struct {
@@ -149,7 +149,7 @@
 	Reason     string `placeholder:"TEXT" help:"For other operators."`
 }
 
-// Run goes back.
+// Run puts earlier settings in force again.
 func (c *settingsRollbackCmd) Run() error {
 	if c.Number == 0 {
 		return usageError{fmt.Errorf("number: settings history lists them from 1; reload an empty file, (marlwood), to go back to the controllers' own")}
--- a/cmd/marlwood/top.go
+++ b/cmd/marlwood/top.go
@@ -21,17 +21,17 @@
 	Once       bool          `help:"Draw it once and end."`
 }
 
-// minScreenInterval bounds the load of a screen on the controllers.
+// minScreenInterval is the least value of --every; it bounds the load that a screen puts on the controllers.
 const minScreenInterval = 500 * time.Millisecond
 
-// Run shows one live screen until it is told to end.
+// Run redraws the screen until the process receives SIGINT or SIGTERM; with --once it prints the screen once.
 func (c *topCmd) Run() error {
 	if c.Every < minScreenInterval {
 		return usageError{fmt.Errorf("--every: at least %v", minScreenInterval)}
 	}
 	return c.withClient(func(ctx context.Context, client *operators.Client) error {
 		for {
-			text, err := screen(ctx, client)
+			text, err := renderScreen(ctx, client)
 			if c.Once {
 				fmt.Print(text)
 				return commandError(err)
@@ -39,7 +39,7 @@
 			if err != nil && ctx.Err() == nil {
 				text = messageOf(err) + "\n"
 			}
-			draw(text)
+			drawScreen(text)
 			select {
 			case <-ctx.Done():
 				return nil
@@ -49,20 +49,20 @@
 	})
 }
 
-// draw puts a text in place of the one before, where there is a terminal.
-func draw(text string) {
+// drawScreen prints a text; on a terminal it clears the screen first.
+func drawScreen(text string) {
 	if term.IsTerminal(int(os.Stdout.Fd())) {
 		text = "\x1b[H\x1b[2J" + text
 	}
 	fmt.Print(text)
 }
 
-// maxScreenRows is how many jobs and drains a screen shows.
+// maxScreenRows limits the number of jobs, and of drains, on a screen.
 const maxScreenRows = 12
 
-// screen is the cluster on one screen: what it does, its teams, the jobs that wait
-// longest, and drains.
-func screen(ctx context.Context, client *operators.Client) (string, error) {
+// renderScreen returns the text of one screen: the status of the cluster, its teams, the oldest jobs that do not
+// run in full, and drains.
+func renderScreen(ctx context.Context, client *operators.Client) (string, error) {
 	state, err := operators.Try(ctx, client, false, func(ctx context.Context, o operatorspb.OperatorsClient) (*operatorspb.StatusResponse, error) {
 		return o.Status(ctx, &operatorspb.StatusRequest{})
 	})
@@ -108,7 +108,7 @@
 	return text.String(), nil
 }
 
-// writeDrains writes a line for each of the first drains.
+// writeDrains writes a line for each of the first maxScreenRows drains, and the number of the others.
 func writeDrains(text *bytes.Buffer, drains []*operatorspb.Drain) {
 	for i, d := range drains {
 		if i == 0 {
