--- a/cmd/marlwood-replay/main.go
+++ b/cmd/marlwood-replay/main.go
@@ -1,6 +1,5 @@
-// Command marlwood-replay plays recordings again; "marlwood replay" runs it. It is a
-// program of its own because its tables, plots and columnar files would take a third of
-// the memory that a controller has.
+// Command marlwood-replay replays recordings; "marlwood replay" runs it. It is a separate program because its
+// tables, plots and columnar files would take a third of the memory that a controller has.
 package main
 
 import (
@@ -20,7 +19,7 @@
 	"github.com/marlwood/marlwood/internal/scheduler"
 )
 
-// cli is the command line.
+// cli defines the commands and flags of the program.
 type cli struct {
 	Verify replayVerifyCmd `cmd:"" help:"Decide everything again and compare."`
 	WhatIf replayWhatIfCmd `cmd:"" name:"whatif" help:"Play the day's jobs under other rules."`
@@ -37,22 +36,22 @@
 	JSON     bool   `help:"Print JSON."`
 }
 
-// Run plays the day under the given rules and prints the comparison.
+// Run simulates the recorded day under the given settings and prints the comparison.
 func (c *replayWhatIfCmd) Run() error {
 	if c.Seeds < 1 || c.Seeds > 1000 {
 		return inputError{errors.New("--seeds: must be from 1 to 1000")}
 	}
-	q := replay.Question{Dir: c.Dir, Settings: c.Settings, Teams: c.Teams, Machines: c.Machines, Seeds: c.Seeds,
+	question := replay.Question{Dir: c.Dir, Settings: c.Settings, Teams: c.Teams, Machines: c.Machines, Seeds: c.Seeds,
 		Recorded: c.Supply == "recorded", Workers: runtime.GOMAXPROCS(0)}
 	if term.IsTerminal(int(os.Stderr.Fd())) {
 		bar := progressbar.NewOptions(1, progressbar.OptionSetWriter(os.Stderr), progressbar.OptionSetDescription("days played"),
 			progressbar.OptionClearOnFinish())
-		q.Progress = func(done, of int) {
-			bar.ChangeMax(of)
+		question.Progress = func(done, total int) {
+			bar.ChangeMax(total)
 			_ = bar.Set(done)
 		}
 	}
-	a, err := replay.Ask(q)
+	answer, err := replay.Ask(question)
 	if errors.Is(err, replay.ErrInput) {
 		return inputError{err}
 	}
@@ -60,14 +59,14 @@
 		return err
 	}
 	if c.Report != "" {
-		if err := a.Report(c.Report); err != nil {
+		if err := answer.Report(c.Report); err != nil {
 			return err
 		}
 	}
 	if c.JSON {
-		return json.NewEncoder(os.Stdout).Encode(a)
+		return json.NewEncoder(os.Stdout).Encode(answer)
 	}
-	return a.Print(os.Stdout)
+	return answer.Print(os.Stdout)
 }
 
 type replayVerifyCmd struct {
@@ -76,13 +75,13 @@
 	JSON        bool   `help:"Print JSON."`
 }
 
-// Results that end the program with status 1.
+// Errors that end the program with status 1: replayed decisions differ, or the recording is damaged.
 var (
 	errDiffers = errors.New("a decision differs")
 	errDamaged = errors.New("the recording is not whole: what is left of it is decided alike")
 )
 
-// Run plays the recording.
+// Run replays the recording and compares the decisions with the recorded ones.
 func (c *replayVerifyCmd) Run() error {
 	v, err := replay.Verify(c.Dir, replay.Options{ImportEvery: c.ImportEvery})
 	if err != nil {
@@ -104,7 +103,7 @@
 	return nil
 }
 
-// inputError is a mistake in arguments or files; it ends the program with status 2.
+// inputError reports a mistake in arguments or files; it ends the program with status 2.
 type inputError struct{ error }
 
 func main() {
@@ -117,10 +116,10 @@
 	}
 }
 
-// exitStatus is the exit status for an error: 2 for wrong arguments or files, else 1.
+// exitStatus returns the exit status for an error: 2 for wrong arguments or files, else 1.
 func exitStatus(err error) int {
-	var bad inputError
-	if errors.As(err, &bad) || errors.Is(err, record.ErrFormat) || errors.Is(err, os.ErrNotExist) || errors.Is(err, scheduler.ErrVersion) {
+	var input inputError
+	if errors.As(err, &input) || errors.Is(err, record.ErrFormat) || errors.Is(err, os.ErrNotExist) || errors.Is(err, scheduler.ErrVersion) {
 		return 2
 	}
 	return 1
--- a/cmd/marlwood-replay/main_test.go
+++ b/cmd/marlwood-replay/main_test.go
@@ -6,17 +6,17 @@
 	"testing"
 )
 
-// Every command ends with the status that the operators' page promises.
-func TestStatus(t *testing.T) {
+// Every command ends with the exit status that the operators' page states.
+func TestExitStatus(t *testing.T) {
 	const day = "../../internal/replay/testdata/day"
-	write := func(name, text string) string {
+	writeFile := func(name, text string) string {
 		path := filepath.Join(t.TempDir(), name)
 		if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
 			t.Fatal(err)
 		}
 		return path
 	}
-	torn := t.TempDir()
+	truncated := t.TempDir()
 	all, err := filepath.Glob(day + "/*.mwr")
 	if err != nil || len(all) < 2 {
 		t.Fatalf("%v: %d files", err, len(all))
@@ -26,7 +26,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := os.WriteFile(filepath.Join(torn, filepath.Base(path)), b[:len(b)-10], 0o644); err != nil {
+		if err := os.WriteFile(filepath.Join(truncated, filepath.Base(path)), b[:len(b)-10], 0o644); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -36,14 +36,14 @@
 		run  func() error
 		want int
 	}{
-		{"verify", (&replayVerifyCmd{Dir: day}).Run, 0},
-		{"what is left of a torn one", (&replayVerifyCmd{Dir: torn, JSON: true}).Run, 1},
-		{"nothing there", (&replayVerifyCmd{Dir: "/nonexistent"}).Run, 2},
-		{"no recording", (&replayVerifyCmd{Dir: t.TempDir()}).Run, 2},
-		{"what if", (&replayWhatIfCmd{Dir: day, Seeds: 1, Report: report}).Run, 0},
-		{"no seeds", (&replayWhatIfCmd{Dir: day}).Run, 2},
-		{"unknown team", (&replayWhatIfCmd{Dir: day, Seeds: 1, Teams: write("t", `(teams (team "x" (cpus 1)))`)}).Run, 2},
-		{"nowhere to report to", (&replayWhatIfCmd{Dir: day, Seeds: 1, Report: write("f", "")}).Run, 1},
+		{"complete recording", (&replayVerifyCmd{Dir: day}).Run, 0},
+		{"truncated recording", (&replayVerifyCmd{Dir: truncated, JSON: true}).Run, 1},
+		{"missing directory", (&replayVerifyCmd{Dir: "/nonexistent"}).Run, 2},
+		{"directory without a recording", (&replayVerifyCmd{Dir: t.TempDir()}).Run, 2},
+		{"what-if with report", (&replayWhatIfCmd{Dir: day, Seeds: 1, Report: report}).Run, 0},
+		{"zero seeds", (&replayWhatIfCmd{Dir: day}).Run, 2},
+		{"unknown team", (&replayWhatIfCmd{Dir: day, Seeds: 1, Teams: writeFile("t", `(teams (team "x" (cpus 1)))`)}).Run, 2},
+		{"report path is a file", (&replayWhatIfCmd{Dir: day, Seeds: 1, Report: writeFile("f", "")}).Run, 1},
 	} {
 		got := 0
 		if err := c.run(); err != nil {
