--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -101,5 +101,5 @@
 	return actions
 }
 
-// MachineUp records a machine's heartbeat: the machine is no longer booting.
-func (a *Autoscaler) MachineUp(name string) { a.booting.Delete(name) }
+// HeartbeatReceived records a machine's heartbeat: the machine is no longer booting.
+func (a *Autoscaler) HeartbeatReceived(name string) { a.booting.Delete(name) }
--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -168,7 +168,7 @@
 	if name != "c-5-1" || sentRequest(a, 5) != "" {
 		t.Fatalf("the request is named %q, or was sent before it was recorded", name)
 	}
-	a.RequestRecorded(name, true, at(5))
+	a.LaunchRequestRecorded(name, true, at(5))
 	if sentRequest(a, 6) != name || sentRequest(a, 8) != "" {
 		t.Fatal("the recorded request is not sent exactly once")
 	}
@@ -183,7 +183,7 @@
 // A launch request whose record could not be stored is never sent.
 func TestRequestNotRecorded(t *testing.T) {
 	a, name := newAutoscalerWithRequest()
-	a.RequestRecorded(name, false, at(1))
+	a.LaunchRequestRecorded(name, false, at(1))
 	if sentRequest(a, 10) != "" {
 		t.Error("the request is sent although its record is not stored")
 	}
@@ -192,7 +192,7 @@
 // An earlier leader's launch requests are resolved too, and their refusals are remembered.
 func TestRestoredRequest(t *testing.T) {
 	a := newAutoscaler()
-	a.RestoreRequest(LaunchRequest{Name: "c-3-9", Pool: small, Count: 1}, at(0))
+	a.RestoreLaunchRequest(LaunchRequest{Name: "c-3-9", Pool: small, Count: 1}, at(0))
 	if sentRequest(a, 2) != "c-3-9" {
 		t.Error("an earlier leader's request is not sent")
 	}
--- a/internal/autoscaler/capacity.go
+++ b/internal/autoscaler/capacity.go
@@ -135,10 +135,10 @@
 		if neverUp {
 			return minSilentMachines - inFlight
 		}
-		return MaxRent - inFlight
+		return MaxLaunchCount - inFlight
 	}
 	if n := refused.held - c.held[market] - inFlight; n > 0 {
-		return min(n, MaxRent)
+		return min(n, MaxLaunchCount)
 	}
 	if now.Sub(refused.at) < c.retryWait {
 		return 0
--- a/internal/autoscaler/requests.go
+++ b/internal/autoscaler/requests.go
@@ -7,8 +7,8 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// MaxRent is the maximum number of machines in one launch request.
-const MaxRent = 50
+// MaxLaunchCount is the maximum number of machines in one launch request.
+const MaxLaunchCount = 50
 
 // LaunchPrefix is the key prefix of the launch requests' records.
 const LaunchPrefix = "charter/"
@@ -74,15 +74,15 @@
 	return request
 }
 
-// RestoreRequest adds an unresolved launch request of an earlier leader in state Stored.
-func (a *Autoscaler) RestoreRequest(request LaunchRequest, now time.Time) {
+// RestoreLaunchRequest adds an unresolved launch request of an earlier leader in state Stored.
+func (a *Autoscaler) RestoreLaunchRequest(request LaunchRequest, now time.Time) {
 	request.state, request.since = Stored, now
 	a.requests.Put(request.Name, &request)
 }
 
-// RequestRecorded handles the outcome of storing a launch request's record; ok means that it
-// was stored.
-func (a *Autoscaler) RequestRecorded(name string, ok bool, now time.Time) {
+// LaunchRequestRecorded handles the outcome of storing a launch request's record; ok means
+// that it was stored.
+func (a *Autoscaler) LaunchRequestRecorded(name string, ok bool, now time.Time) {
 	request := a.requests.At(name)
 	if request == nil {
 		return
--- a/internal/scheduler/apply.go
+++ b/internal/scheduler/apply.go
@@ -60,7 +60,7 @@
 	case *recordpb.Event_Plan:
 		out.cloudActions = s.applyPlan(now)
 	case *recordpb.Event_CharterStored:
-		s.autoscaler.RequestRecorded(body.CharterStored.Name, body.CharterStored.Ok, now)
+		s.autoscaler.LaunchRequestRecorded(body.CharterStored.Name, body.CharterStored.Ok, now)
 	case *recordpb.Event_Rented:
 		out.requestResolved = s.applyLaunchDone(now, body.Rented)
 	case *recordpb.Event_Released:
@@ -144,7 +144,7 @@
 	s.cluster.OrdersAcknowledged(answer.Member, answer.Applied)
 	s.cluster.RecordMemberResponse(answer.Member, now)
 	for _, status := range answer.Machines {
-		s.autoscaler.MachineUp(status.Name)
+		s.autoscaler.HeartbeatReceived(status.Name)
 		s.cluster.UpdateMachine(now, answer.Member, status, answer.Applied, answer.Trusted)
 	}
 	for _, name := range answer.Knocks {
--- a/internal/scheduler/records.go
+++ b/internal/scheduler/records.go
@@ -58,7 +58,7 @@
 			s.log.Error("launch request record unreadable", "key", item.Key, "err", err)
 			continue
 		}
-		s.autoscaler.RestoreRequest(request, now)
+		s.autoscaler.RestoreLaunchRequest(request, now)
 	}
 }
 
