--- a/internal/controller/regions.go
+++ b/internal/controller/regions.go
@@ -276,12 +276,12 @@
 func (c *Controller) serveRegion(message *quotapb.Message) *quotapb.Message {
 	answers := make(chan *quotapb.Message, 1)
 	c.post(func() {
-		answer, leads := c.HandleRegionMessage(c.env.Now(), quota.FromWire(message))
+		answer, leads := c.HandleRegionMessage(c.env.Now(), quota.MessageFromProto(message))
 		if !leads {
 			answers <- nil
 			return
 		}
-		answers <- answer.Wire()
+		answers <- answer.ToProto()
 	})
 	select {
 	case answer := <-answers:
--- a/internal/quota/wire.go
+++ b/internal/quota/wire.go
@@ -13,8 +13,8 @@
 	"github.com/marlwood/marlwood/internal/quota/quotapb"
 )
 
-// Wire returns the message as a protobuf message.
-func (m Message) Wire() *quotapb.Message {
+// ToProto returns the message as a protobuf message.
+func (m Message) ToProto() *quotapb.Message {
 	out := &quotapb.Message{From: m.From}
 	for _, part := range m.Teams {
 		out.Teams = append(out.Teams, &quotapb.Team{
@@ -32,8 +32,9 @@
 	return out
 }
 
-// FromWire converts a protobuf message to a Message. It omits teams with negative amounts, which are invalid.
-func FromWire(encoded *quotapb.Message) Message {
+// MessageFromProto converts a protobuf message to a Message. It omits teams with negative amounts, which are
+// invalid.
+func MessageFromProto(encoded *quotapb.Message) Message {
 	message := Message{From: encoded.GetFrom()}
 	for _, part := range encoded.GetTeams() {
 		if part.Cpus < 0 || part.Gpus < 0 || part.WantCpus < 0 || part.WantGpus < 0 {
@@ -96,11 +97,11 @@
 func (c *Client) Exchange(ctx context.Context, message Message) (Message, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	reply, err := quotapb.NewRegionsClient(c.conn).Exchange(ctx, message.Wire())
+	reply, err := quotapb.NewRegionsClient(c.conn).Exchange(ctx, message.ToProto())
 	if err != nil {
 		return Message{}, err
 	}
-	return FromWire(reply), nil
+	return MessageFromProto(reply), nil
 }
 
 // Close closes the connection.
