--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -106,45 +106,45 @@
 	return jsonAnswer(http.StatusOK, statusBody{ID: id, Stage: current.stage})
 }
 
-// Call is the handler of a request under /api/jobs, as found by Route.
-type Call struct {
+// RouteHandler handles a request under /api/jobs, as found by Route.
+type RouteHandler struct {
 	Serve    func(context.Context) httpwire.Answer // nil: the method is not allowed
 	ReadOnly bool                                  // the request changes nothing
 }
 
 // Route returns the handler of a request. ok is false for paths that the API doesn't serve. If ok
-// is true and call.Serve is nil, the path doesn't allow the method.
-func (s *Server) Route(req *httpwire.Request) (call Call, ok bool) {
+// is true and handler.Serve is nil, the path doesn't allow the method.
+func (s *Server) Route(req *httpwire.Request) (handler RouteHandler, ok bool) {
 	suffix, found := strings.CutPrefix(req.Path, "/api/jobs")
 	if !found || (suffix != "" && suffix[0] != '/') {
-		return Call{}, false
+		return RouteHandler{}, false
 	}
 	if suffix == "" {
 		if req.Method != http.MethodPost {
-			return Call{}, true
+			return RouteHandler{}, true
 		}
-		return Call{Serve: func(ctx context.Context) httpwire.Answer { return s.Submit(ctx, req.Body) }}, true
+		return RouteHandler{Serve: func(ctx context.Context) httpwire.Answer { return s.Submit(ctx, req.Body) }}, true
 	}
 	id, isCancel := strings.CutSuffix(strings.TrimPrefix(suffix, "/"), "/cancel")
 	if id == "" || strings.Contains(id, "/") {
-		return Call{}, false
+		return RouteHandler{}, false
 	}
 	return s.routeJob(req.Method, id, isCancel), true
 }
 
 // routeJob returns the handler of a request for one job.
-func (s *Server) routeJob(method, id string, isCancel bool) Call {
+func (s *Server) routeJob(method, id string, isCancel bool) RouteHandler {
 	allowed := http.MethodGet
 	if isCancel {
 		allowed = http.MethodPost
 	}
 	switch {
 	case method != allowed:
-		return Call{}
+		return RouteHandler{}
 	case !model.ValidID(id):
-		return Call{Serve: func(context.Context) httpwire.Answer { return unknownJobAnswer() }}
+		return RouteHandler{Serve: func(context.Context) httpwire.Answer { return unknownJobAnswer() }}
 	case isCancel:
-		return Call{Serve: func(ctx context.Context) httpwire.Answer { return s.Cancel(ctx, id) }}
+		return RouteHandler{Serve: func(ctx context.Context) httpwire.Answer { return s.Cancel(ctx, id) }}
 	}
-	return Call{Serve: func(ctx context.Context) httpwire.Answer { return s.Status(ctx, id) }, ReadOnly: true}
+	return RouteHandler{Serve: func(ctx context.Context) httpwire.Answer { return s.Status(ctx, id) }, ReadOnly: true}
 }
--- a/internal/api/server_test.go
+++ b/internal/api/server_test.go
@@ -402,16 +402,16 @@
 	server, _ := setup(t)
 	for _, c := range []struct {
 		method, path string
-		ok, call     bool
+		ok, handler  bool
 	}{
 		{"POST", "/api/jobs", true, true}, {"GET", "/api/jobs", true, false}, {"GET", "/api/jobs/req-1", true, true},
 		{"DELETE", "/api/jobs/req-1", true, false}, {"POST", "/api/jobs/req-1/cancel", true, true},
 		{"GET", "/api/jobs/req-1/cancel", true, false}, {"GET", "/api/jobs/a/b", false, false}, {"GET", "/api/jobsx", false, false},
 		{"GET", "/api/jobs/", false, false}, {"GET", "/other", false, false},
 	} {
-		call, ok := server.Route(&httpwire.Request{Method: c.method, Path: c.path})
-		if ok != c.ok || (call.Serve != nil) != c.call {
-			t.Errorf("%s %s: %v %v", c.method, c.path, call.Serve != nil, ok)
+		handler, ok := server.Route(&httpwire.Request{Method: c.method, Path: c.path})
+		if ok != c.ok || (handler.Serve != nil) != c.handler {
+			t.Errorf("%s %s: %v %v", c.method, c.path, handler.Serve != nil, ok)
 		}
 	}
 }
--- a/internal/controller/http.go
+++ b/internal/controller/http.go
@@ -73,20 +73,20 @@
 
 // serveUser serves a request of the users' API outside the loop.
 func (c *Controller) serveUser(req *httpwire.Request, reply httpwire.Reply) {
-	call, ok := c.api.Route(req)
+	handler, ok := c.api.Route(req)
 	unavailable := c.unavailableReason(c.env.Now())
 	switch {
 	case !ok:
 		reply(api.ErrorAnswer(http.StatusNotFound, "no such path"))
 		return
-	case call.Serve == nil:
+	case handler.Serve == nil:
 		reply(api.ErrorAnswer(http.StatusMethodNotAllowed, "method not allowed"))
 		return
 	case unavailable != "": // refuses the request at once, instead of letting it time out
 		reply(api.RetryAnswer(http.StatusServiceUnavailable, unavailable))
 		return
 	}
-	release, ok := c.slots.acquire(call.ReadOnly)
+	release, ok := c.slots.acquire(handler.ReadOnly)
 	if !ok {
 		reply(api.RetryAnswer(http.StatusTooManyRequests, "too many requests under way"))
 		return
@@ -95,6 +95,6 @@
 		defer release()
 		ctx, cancel := context.WithTimeout(c.ctx, userRequestTimeout)
 		defer cancel()
-		reply(call.Serve(ctx))
+		reply(handler.Serve(ctx))
 	})
 }
