--- a/cmd/marlwood/ask.go
+++ b/cmd/marlwood/ask.go
@@ -102,7 +102,7 @@
 // once one may have executed it.
 func call[T proto.Message](conn *connection, change bool, do func(ctx context.Context, s operatorspb.OperatorsClient) (T, error)) (out T, err error) {
 	err = conn.withClient(func(ctx context.Context, c *operators.Client) error {
-		out, err = operators.Try(ctx, c, change, do)
+		out, err = operators.Call(ctx, c, change, do)
 		return commandError(err)
 	})
 	return out, err
--- a/cmd/marlwood/keys.go
+++ b/cmd/marlwood/keys.go
@@ -70,7 +70,7 @@
 	if !model.ValidID(name) || name == "ca" {
 		return usageError{fmt.Errorf("name: %q cannot be one: letters, digits, - _ and . only, and not ca", name)}
 	}
-	if err := keyError(operators.MakeKey(c.Dir, name, role, hosts, c.Lasts)); err != nil {
+	if err := keyError(operators.MakeCertificate(c.Dir, name, role, hosts, c.Lasts)); err != nil {
 		return err
 	}
 	fmt.Printf("%s and %s, role %s, valid for %v\n", filepath.Join(c.Dir, name+".pem"), filepath.Join(c.Dir, name+"-key.pem"), role, c.Lasts)
--- a/cmd/marlwood/rows.go
+++ b/cmd/marlwood/rows.go
@@ -28,7 +28,7 @@
 	err = conn.withClient(func(ctx context.Context, c *operators.Client) error {
 		after := ""
 		for {
-			p, err := operators.Try(ctx, c, false, func(ctx context.Context, s operatorspb.OperatorsClient) (result, error) {
+			p, err := operators.Call(ctx, c, false, func(ctx context.Context, s operatorspb.OperatorsClient) (result, error) {
 				rows, more, err := page(ctx, s, after)
 				return result{rows, more}, err
 			})
--- a/cmd/marlwood/top.go
+++ b/cmd/marlwood/top.go
@@ -63,7 +63,7 @@
 // renderScreen returns the text of one screen: the status of the cluster, its teams, the oldest jobs that do not
 // run in full, and drains.
 func renderScreen(ctx context.Context, client *operators.Client) (string, error) {
-	state, err := operators.Try(ctx, client, false, func(ctx context.Context, o operatorspb.OperatorsClient) (*operatorspb.StatusResponse, error) {
+	state, err := operators.Call(ctx, client, false, func(ctx context.Context, o operatorspb.OperatorsClient) (*operatorspb.StatusResponse, error) {
 		return o.Status(ctx, &operatorspb.StatusRequest{})
 	})
 	if err != nil {
@@ -74,7 +74,7 @@
 	if state.Token == 0 {
 		return text.String(), nil
 	}
-	teams, err := operators.Try(ctx, client, false, func(ctx context.Context, o operatorspb.OperatorsClient) (*operatorspb.TeamsResponse, error) {
+	teams, err := operators.Call(ctx, client, false, func(ctx context.Context, o operatorspb.OperatorsClient) (*operatorspb.TeamsResponse, error) {
 		return o.Teams(ctx, &operatorspb.TeamsRequest{})
 	})
 	if err != nil {
@@ -84,7 +84,7 @@
 	if err := writeTeams(&text, teams.Rows); err != nil {
 		return text.String(), err
 	}
-	jobs, err := operators.Try(ctx, client, false, func(ctx context.Context, o operatorspb.OperatorsClient) (*operatorspb.JobsResponse, error) {
+	jobs, err := operators.Call(ctx, client, false, func(ctx context.Context, o operatorspb.OperatorsClient) (*operatorspb.JobsResponse, error) {
 		return o.Jobs(ctx, &operatorspb.JobsRequest{})
 	})
 	if err != nil {
@@ -98,7 +98,7 @@
 			return text.String(), err
 		}
 	}
-	drains, err := operators.Try(ctx, client, false, func(ctx context.Context, o operatorspb.OperatorsClient) (*operatorspb.DrainsResponse, error) {
+	drains, err := operators.Call(ctx, client, false, func(ctx context.Context, o operatorspb.OperatorsClient) (*operatorspb.DrainsResponse, error) {
 		return o.Drains(ctx, &operatorspb.DrainsRequest{})
 	})
 	if err != nil {
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -41,7 +41,7 @@
 	}
 	defer stopPeers()
 	if c.fileSettings.Operators.Listen != "off" {
-		stopOperators := operators.Keep(ctx, c.operatorOptions())
+		stopOperators := operators.ServeWithRetry(ctx, c.operatorOptions())
 		defer stopOperators()
 	}
 	if c.metrics != nil {
--- a/internal/operators/answers_test.go
+++ b/internal/operators/answers_test.go
@@ -42,7 +42,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, err = Try(context.Background(), client, true, func(ctx context.Context, s operatorspb.OperatorsClient) (*operatorspb.DrainResponse, error) {
+		_, err = Call(context.Background(), client, true, func(ctx context.Context, s operatorspb.OperatorsClient) (*operatorspb.DrainResponse, error) {
 			return s.Drain(ctx, &operatorspb.DrainRequest{Zone: "b"})
 		})
 		client.Close()
@@ -55,7 +55,7 @@
 		t.Fatal(err)
 	}
 	defer client.Close()
-	_, err = Try(context.Background(), client, false, func(ctx context.Context, s operatorspb.OperatorsClient) (*operatorspb.StatusResponse, error) {
+	_, err = Call(context.Background(), client, false, func(ctx context.Context, s operatorspb.OperatorsClient) (*operatorspb.StatusResponse, error) {
 		return s.Status(ctx, &operatorspb.StatusRequest{})
 	})
 	if status.Code(err) != codes.Unavailable {
--- a/internal/operators/client.go
+++ b/internal/operators/client.go
@@ -71,10 +71,10 @@
 	overloadAttempts = 5
 )
 
-// Try calls one controller after the other until one returns a response, or an error other than
+// Call calls one controller after the other until one returns a response, or an error other than
 // an unavailable or overloaded controller or a timeout. change marks a request that changes something:
 // after a controller may have executed it, no other is called.
-func Try[T any](ctx context.Context, c *Client, change bool, do func(ctx context.Context, s operatorspb.OperatorsClient) (T, error)) (out T, err error) {
+func Call[T any](ctx context.Context, c *Client, change bool, do func(ctx context.Context, s operatorspb.OperatorsClient) (T, error)) (out T, err error) {
 	for range overloadAttempts {
 		if out, err = tryOnce(ctx, c, change, do); status.Code(err) != codes.ResourceExhausted {
 			break
--- a/internal/operators/keys.go
+++ b/internal/operators/keys.go
@@ -203,9 +203,9 @@
 	return writePair(dir, "ca", certificate, certificate, &key.PublicKey, key, key)
 }
 
-// MakeKey creates a certificate and its key for a name with a role, signed by the
+// MakeCertificate creates a certificate and its key for a name with a role, signed by the
 // authority in the same directory. hosts are the addresses and host names of a controller.
-func MakeKey(dir, name, role string, hosts []string, validity time.Duration) error {
+func MakeCertificate(dir, name, role string, hosts []string, validity time.Duration) error {
 	pair, err := tls.LoadX509KeyPair(filepath.Join(dir, caCert), filepath.Join(dir, caKey))
 	if err != nil {
 		return fmt.Errorf("the authority in %s: %w", dir, err)
--- a/internal/operators/operators_test.go
+++ b/internal/operators/operators_test.go
@@ -61,7 +61,7 @@
 		return "", err
 	}
 	defer c.Close()
-	out, err := Try(context.Background(), c, false, func(ctx context.Context, s operatorspb.OperatorsClient) (*operatorspb.StatusResponse, error) {
+	out, err := Call(context.Background(), c, false, func(ctx context.Context, s operatorspb.OperatorsClient) (*operatorspb.StatusResponse, error) {
 		return s.Status(ctx, &operatorspb.StatusRequest{})
 	})
 	return out.GetMember(), err
@@ -73,7 +73,7 @@
 		return "", err
 	}
 	defer c.Close()
-	out, err := Try(context.Background(), c, true, func(ctx context.Context, s operatorspb.OperatorsClient) (*operatorspb.DrainResponse, error) {
+	out, err := Call(context.Background(), c, true, func(ctx context.Context, s operatorspb.OperatorsClient) (*operatorspb.DrainResponse, error) {
 		return s.Drain(ctx, &operatorspb.DrainRequest{Node: "n"})
 	})
 	return out.GetDrain().GetWho(), err
@@ -90,9 +90,9 @@
 func TestRoles(t *testing.T) {
 	own, foreign := filepath.Join(t.TempDir(), "own"), filepath.Join(t.TempDir(), "foreign")
 	for _, dir := range []string{own, foreign} {
-		mustSucceed(t, MakeCA(dir, "ca", 48*time.Hour), MakeKey(dir, "node", NodeRole, []string{"127.0.0.1"}, time.Hour),
-			MakeKey(dir, "anna", Operator, nil, time.Hour), MakeKey(dir, "vito", Viewer, nil, time.Hour),
-			MakeKey(dir, "late", Operator, nil, -time.Second), MakeKey(dir, "odd", "admin", nil, time.Hour))
+		mustSucceed(t, MakeCA(dir, "ca", 48*time.Hour), MakeCertificate(dir, "node", NodeRole, []string{"127.0.0.1"}, time.Hour),
+			MakeCertificate(dir, "anna", Operator, nil, time.Hour), MakeCertificate(dir, "vito", Viewer, nil, time.Hour),
+			MakeCertificate(dir, "late", Operator, nil, -time.Second), MakeCertificate(dir, "odd", "admin", nil, time.Hour))
 	}
 	file := func(dir, name string) string { return filepath.Join(dir, name+".pem") }
 	addr := startServer(t, file(own, "ca"), file(own, "node"), file(own, "node-key"), slog.New(slog.DiscardHandler))
@@ -130,8 +130,8 @@
 // certificates stay in force. A certificate that expires soon causes a warning.
 func TestKeysAreReloaded(t *testing.T) {
 	dir := t.TempDir()
-	mustSucceed(t, MakeCA(dir, "ca", 100*24*time.Hour), MakeKey(dir, "node", NodeRole, nil, 24*time.Hour), MakeKey(dir, "anna", Operator, nil, time.Hour),
-		MakeKey(dir, "next", NodeRole, nil, 90*24*time.Hour))
+	mustSucceed(t, MakeCA(dir, "ca", 100*24*time.Hour), MakeCertificate(dir, "node", NodeRole, nil, 24*time.Hour),
+		MakeCertificate(dir, "anna", Operator, nil, time.Hour), MakeCertificate(dir, "next", NodeRole, nil, 90*24*time.Hour))
 	var log strings.Builder
 	k, err := OpenKeys(filepath.Join(dir, "ca.pem"), filepath.Join(dir, "node.pem"), filepath.Join(dir, "node-key.pem"),
 		slog.New(slog.NewTextHandler(&log, nil)))
@@ -165,19 +165,19 @@
 }
 
 // Existing files are not overwritten, and no certificate can expire after its authority.
-func TestMakeCAAndMakeKey(t *testing.T) {
+func TestMakeCAAndMakeCertificate(t *testing.T) {
 	dir := t.TempDir()
-	if err := MakeKey(dir, "anna", Operator, nil, time.Hour); err == nil {
+	if err := MakeCertificate(dir, "anna", Operator, nil, time.Hour); err == nil {
 		t.Error("a certificate was made without an authority")
 	}
-	mustSucceed(t, MakeCA(dir, "ca", time.Hour), MakeKey(dir, "anna", Operator, nil, time.Minute))
+	mustSucceed(t, MakeCA(dir, "ca", time.Hour), MakeCertificate(dir, "anna", Operator, nil, time.Minute))
 	if err := MakeCA(dir, "ca", time.Hour); !errors.Is(err, ErrExists) {
 		t.Errorf("making an authority twice: %v", err)
 	}
-	if err := MakeKey(dir, "anna", Viewer, nil, time.Minute); !errors.Is(err, ErrExists) {
+	if err := MakeCertificate(dir, "anna", Viewer, nil, time.Minute); !errors.Is(err, ErrExists) {
 		t.Errorf("making a key twice: %v", err)
 	}
-	if err := MakeKey(dir, "late", Viewer, nil, 2*time.Hour); err == nil {
+	if err := MakeCertificate(dir, "late", Viewer, nil, 2*time.Hour); err == nil {
 		t.Error("a certificate was made that expires after its authority")
 	}
 	if info, err := os.Stat(filepath.Join(dir, "anna-key.pem")); err != nil || info.Mode().Perm() != 0o600 {
@@ -189,9 +189,9 @@
 //
 // Guard: in a deployment test where the operators' address could not be listened on, every controller
 // exited.
-func TestKeepRetriesWhenServeFails(t *testing.T) {
+func TestServeWithRetryRetriesWhenServeFails(t *testing.T) {
 	var log strings.Builder
-	stop := Keep(t.Context(), Options{Listen: "127.0.0.1:0", CA: "nowhere.pem", Cert: "nowhere.pem", Key: "nowhere.pem",
+	stop := ServeWithRetry(t.Context(), Options{Listen: "127.0.0.1:0", CA: "nowhere.pem", Cert: "nowhere.pem", Key: "nowhere.pem",
 		Log: slog.New(slog.NewTextHandler(&log, nil))})
 	time.Sleep(50 * time.Millisecond)
 	stop()
--- a/internal/operators/server.go
+++ b/internal/operators/server.go
@@ -78,15 +78,15 @@
 	return grpcServer.Stop, nil
 }
 
-// serveRetryInterval is the pause before Keep tries to serve again.
+// serveRetryInterval is the pause before ServeWithRetry tries to serve again.
 const serveRetryInterval = 15 * time.Second
 
-// Keep serves like Serve until stop is called, and retries whenever Serve fails.
+// ServeWithRetry serves like Serve until stop is called, and retries whenever Serve fails.
 //
 // Guard: a controller must keep working if the operators' address is in use, or if its certificates
 // are missing or expired. When it exited instead, every controller of a deployment exited
-// repeatedly, and nothing ran (TestKeepRetriesWhenServeFails).
-func Keep(ctx context.Context, options Options) (stop func()) {
+// repeatedly, and nothing ran (TestServeWithRetryRetriesWhenServeFails).
+func ServeWithRetry(ctx context.Context, options Options) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	ended := make(chan struct{})
 	go func() {
