--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -69,7 +69,7 @@
 func (c *Controller) registerPeerServices(registrar grpc.ServiceRegistrar) {
 	record.Register(registrar, c.broadcaster)
 	operators.RegisterRelay(registrar, c.HandleOperatorRequest, c.CheckSettings)
-	if c.fileSettings.Regions.Name != settings.NoRegions {
+	if c.fileSettings.Regions.Name != settings.SingleRegion {
 		quota.Register(registrar, c.serveRegion)
 	}
 }
--- a/internal/settings/regions.go
+++ b/internal/settings/regions.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// NoRegions is the region's name if the deployment is the only region.
-const NoRegions = "off"
+// SingleRegion is the region's name if the deployment is the only region.
+const SingleRegion = "off"
 
 // maxRegionName is the maximum length of a region's name.
 const maxRegionName = 40
@@ -21,14 +21,14 @@
 // separated by spaces. It returns no regions if the deployment is the only one.
 func (o *Operator) OtherRegions() ([]Region, error) {
 	name, others := o.Regions.Name, o.Regions.Others
-	if name == NoRegions && others == "" {
+	if name == SingleRegion && others == "" {
 		return nil, nil
 	}
-	if name != NoRegions && (!validRegionName(name) || others == "") {
+	if name != SingleRegion && (!validRegionName(name) || others == "") {
 		return nil, fieldErrorf("regions.name", "neither \"off\" nor a name of small letters, digits and - beside others: %q", name)
 	}
 	out, err := readRegions(name, others)
-	if err != nil || name == NoRegions {
+	if err != nil || name == SingleRegion {
 		return nil, err
 	}
 	return out, nil
@@ -58,5 +58,5 @@
 
 // validRegionName reports whether s is a valid name of a region.
 func validRegionName(s string) bool {
-	return s != "" && s != NoRegions && len(s) <= maxRegionName && strings.Trim(s, "abcdefghijklmnopqrstuvwxyz0123456789-") == ""
+	return s != "" && s != SingleRegion && len(s) <= maxRegionName && strings.Trim(s, "abcdefghijklmnopqrstuvwxyz0123456789-") == ""
 }
