--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -1,7 +1,7 @@
-// Package simulation is time that passes only when something happens: a queue of events,
-// processes that live in it, and a state service. Whole controllers run in it, in one
-// process and repeatably from one seed: among faults (package explore), or on the jobs
-// of a recorded day (package replay).
+// Package simulation is a discrete-event simulation: a queue of events on a virtual clock,
+// simulated processes and a simulated state service. Whole controllers run in it inside one
+// operating system process, and a run is repeatable from its seed. It is used for runs with
+// injected faults (package explore) and for the jobs of a recorded day (package replay).
 package simulation
 
 import (
@@ -14,33 +14,34 @@
 	"time"
 )
 
-// Sim is virtual time: events in the order of their moments, of equals in the order in
-// which they were made. It is not safe for concurrent use.
+// Sim is a virtual clock with a queue of events. Events run in the order of their times;
+// events with equal times run in the order in which they were scheduled. It is not safe for
+// concurrent use.
 type Sim struct {
 	Rand  *rand.Rand
 	now   time.Duration // simulated time since the start
 	queue events
-	idle  []*fiber // reused, because a grown stack is expensive
-	made  uint64
+	idle  []*fiber // fibers without work, reused because growing a stack is expensive
+	seq   uint64
 }
 
-// New makes a simulation at time 0; all randomness comes from the seed.
+// New returns a simulation at time 0. All its randomness comes from the seed.
 func New(seed uint64) *Sim { return &Sim{Rand: rand.New(rand.NewPCG(seed, 1))} }
 
-// Now is the simulated time since the start.
+// Now returns the simulated time since the start.
 func (s *Sim) Now() time.Duration { return s.now }
 
-// Pending counts the scheduled events.
+// Pending returns the number of scheduled events.
 func (s *Sim) Pending() int { return len(s.queue) }
 
-// event is a function that is scheduled.
+// event is a scheduled function.
 type event struct {
-	at   time.Duration
-	made uint64
-	do   func()
+	at  time.Duration
+	seq uint64
+	do  func()
 }
 
-// events is a heap by time and, at the same time, by the order of scheduling.
+// events is a heap ordered by time; events with equal times are ordered by scheduling.
 type events []event
 
 // Len implements heap.Interface.
@@ -48,7 +49,7 @@
 
 // Less implements heap.Interface.
 func (q events) Less(i, k int) bool {
-	return q[i].at < q[k].at || (q[i].at == q[k].at && q[i].made < q[k].made)
+	return q[i].at < q[k].at || (q[i].at == q[k].at && q[i].seq < q[k].seq)
 }
 
 // Swap implements heap.Interface.
@@ -65,72 +66,73 @@
 	return x
 }
 
-// At schedules a function at a time, or now if that has passed.
+// At schedules a function for a time, or for now if that time has passed.
 func (s *Sim) At(at time.Duration, do func()) {
-	s.made++
-	heap.Push(&s.queue, event{max(at, s.now), s.made, do})
+	s.seq++
+	heap.Push(&s.queue, event{max(at, s.now), s.seq, do})
 }
 
-// After has something happen after a time.
+// After schedules a function for d from now.
 func (s *Sim) After(d time.Duration, do func()) { s.At(s.now+d, do) }
 
-// Step plays the next event; there must be one.
+// Step advances the clock to the next event and runs it. The queue must not be empty.
 func (s *Sim) Step() {
 	e := heap.Pop(&s.queue).(event)
 	s.now = e.at
 	e.do()
 }
 
-// End releases what idle fibers hold; nothing happens after it.
+// End releases the resources of idle fibers. The simulation must not be used afterwards.
 func (s *Sim) End() {
 	for _, t := range s.idle {
 		t.stop()
 	}
 }
 
-// Between draws a duration.
+// Between returns a random duration from least to most, both included.
 func (s *Sim) Between(least, most time.Duration) time.Duration {
 	return least + time.Duration(s.Rand.Int64N(int64(most-least)+1))
 }
 
-// Process is what one operating system process would be: it dies with all that it
-// has under way, and may stand still while its clocks run on.
+// Process simulates one operating system process. When it is killed, all its fibers end.
+// While it is frozen, it runs nothing, but its clock goes on.
 type Process struct {
 	Name    string
 	sim     *Sim
-	drift   float64 // of its steady clock, as a share
+	drift   float64 // relative rate error of the monotonic clock
 	dead    bool
 	frozen  bool
-	backlog []func() // what came while it stood still
+	backlog []func() // functions that were entered while the process was frozen
 	running *fiber
 	fibers  map[*fiber]bool
 }
 
-// fiber is something that runs beside a process's loop and waits now and then.
+// fiber is a coroutine of a process, which may wait while the process does other work.
 type fiber struct {
 	next  func() (struct{}, bool)
 	stop  func()
 	yield func(struct{}) bool
-	work  func() // nil: none
+	work  func() // nil: idle
 }
 
-// killed unwinds a fiber of a process that has died.
+// killed is the panic value that unwinds a fiber of a killed process.
 type killed struct{}
 
-// NewProcess begins a process.
+// NewProcess returns a running process with a random clock drift.
 func (s *Sim) NewProcess(name string) *Process {
 	return &Process{sim: s, Name: name, drift: (s.Rand.Float64()*2 - 1) * 0.0005, fibers: map[*fiber]bool{}}
 }
 
-// Dead tells that the process has ended.
+// Dead reports whether the process was killed.
 func (p *Process) Dead() bool { return p.dead }
 
-// Local is the process's steady clock.
+// Local returns the time of the process's monotonic clock.
 func (p *Process) Local() time.Duration {
 	return time.Duration(float64(p.sim.now) * (1 + p.drift))
 }
 
-// Enter has the process do something now, or when it stands still no more.
+// Enter runs do in the process now, or after the freeze if the process is frozen. A dead process
+// ignores it.
 func (p *Process) Enter(do func()) {
 	switch {
 	case p.dead:
@@ -141,10 +143,10 @@
 	}
 }
 
-// Later is Enter after a time.
+// Later calls Enter after d.
 func (p *Process) Later(d time.Duration, do func()) { p.sim.After(d, func() { p.Enter(do) }) }
 
-// Spawn runs f as a fiber.
+// Spawn runs f in a fiber of the process.
 func (p *Process) Spawn(f func()) {
 	p.Later(0, func() {
 		t := p.sim.fiber()
@@ -154,7 +156,7 @@
 	})
 }
 
-// fiber returns one without work.
+// fiber returns an idle fiber, or a new one if none is idle.
 func (s *Sim) fiber() *fiber {
 	if n := len(s.idle); n > 0 {
 		t := s.idle[n-1]
@@ -190,7 +192,7 @@
 	p.running = before
 }
 
-// Await stops the running fiber until wake is called; later calls do nothing.
+// Await suspends the running fiber until wake is called. Further calls of wake do nothing.
 func (p *Process) Await(register func(wake func())) {
 	t, woken := p.running, false
 	register(func() {
@@ -204,12 +206,12 @@
 	}
 }
 
-// Sleep has the running fiber wait.
+// Sleep suspends the running fiber for d.
 func (p *Process) Sleep(d time.Duration) {
 	p.Await(func(wake func()) { p.sim.After(d, wake) })
 }
 
-// Kill ends the process.
+// Kill ends the process and all its fibers.
 func (p *Process) Kill() {
 	p.dead, p.backlog = true, nil
 	for t := range p.fibers {
@@ -218,7 +220,8 @@
 	p.fibers = nil
 }
 
-// Freeze has the process stand still while its clock runs; what comes meanwhile waits.
+// Freeze suspends the process for d while its clock runs. Functions that are entered meanwhile
+// run afterwards.
 func (p *Process) Freeze(d time.Duration) {
 	if p.dead || p.frozen {
 		return
@@ -234,17 +237,17 @@
 	})
 }
 
-// NewLatch makes a closed gate for the process's fibers.
+// NewLatch returns a closed latch for the process's fibers.
 func (p *Process) NewLatch() *Latch { return &Latch{p: p} }
 
-// Latch holds fibers back until it is open.
+// Latch blocks fibers until it is opened.
 type Latch struct {
 	p    *Process
 	open bool
 	wait []func()
 }
 
-// Open lets all go on.
+// Open opens the latch and wakes all fibers that wait for it.
 func (g *Latch) Open() {
 	g.open = true
 	for _, wake := range g.wait {
@@ -253,7 +256,8 @@
 	g.wait = nil
 }
 
-// Wait waits for at most d and tells whether the gate is open.
+// Wait blocks the running fiber until the latch is open, for at most d, and reports whether it
+// is open.
 func (g *Latch) Wait(_ context.Context, d time.Duration) bool {
 	if !g.open {
 		g.p.Await(func(wake func()) {
--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -10,22 +10,22 @@
 	"github.com/marlwood/marlwood/internal/store"
 )
 
-// Store is the state service: keys with stamps, guards, holds and watches. It answers at
-// once; who asks over a network adds its delays.
+// Store simulates the state service: keys with revisions, transactions with preconditions,
+// leases and watches. It answers immediately; callers that simulate a network add its delays.
 type Store struct {
 	sim          *Sim
 	keys         map[string]*entry
-	names        []string // of the keys, in order
+	sortedKeys   []string // the keys, sorted
 	rev          uint64
 	leases       map[uint64]*lease
 	lastID       uint64
-	log          []store.Event // all changes; none are dropped
+	log          []store.Event // all changes since the start; none are dropped
 	watches      []func()
-	outage       time.Duration            // until then it refuses everybody
-	refuse       map[string]time.Duration // controllers that it refuses until then
+	outageUntil  time.Duration            // the store refuses all nodes until this time
+	refusedUntil map[string]time.Duration // by node: the store refuses it until this time
 	TxnOps       int
-	OnKeyExpired func(key string)  // told of keys that go with their hold; may be nil
-	OnTxn        func(t store.Txn) // told of every transaction, also one whose guards fail; may be nil
+	OnKeyExpired func(key string)  // called for each key that is deleted with its expired lease; may be nil
+	OnTxn        func(t store.Txn) // called for every transaction, also if its preconditions fail; may be nil
 }
 
 type entry struct {
@@ -35,53 +35,53 @@
 }
 
 type lease struct {
-	ttl   time.Duration
-	until time.Duration
+	ttl     time.Duration
+	expires time.Duration
 }
 
-// NewStore makes an empty store that takes transactions of so many changes.
+// NewStore returns an empty store that accepts transactions of up to txnOps writes.
 func NewStore(s *Sim, txnOps int) *Store {
 	return &Store{sim: s, TxnOps: txnOps, keys: map[string]*entry{}, rev: 1, leases: map[uint64]*lease{},
-		refuse: map[string]time.Duration{}}
+		refusedUntil: map[string]time.Duration{}}
 }
 
-// Refuses tells whether the store refuses a node now.
+// Refuses reports whether the store refuses requests of a node now.
 func (v *Store) Refuses(node string) bool {
-	return v.sim.now < v.outage || v.sim.now < v.refuse[node]
+	return v.sim.now < v.outageUntil || v.sim.now < v.refusedUntil[node]
 }
 
-// Refuse has the store refuse a node for a time.
+// Refuse makes the store refuse requests of a node for d.
 func (v *Store) Refuse(node string, d time.Duration) {
-	v.refuse[node] = max(v.refuse[node], v.sim.now+d)
+	v.refusedUntil[node] = max(v.refusedUntil[node], v.sim.now+d)
 }
 
-// Fail begins an outage. After it every lease has its full time again.
+// Fail starts an outage of length d. When it ends, every lease has its full TTL again.
 func (v *Store) Fail(d time.Duration) {
-	v.outage = max(v.outage, v.sim.now+d)
-	v.sim.At(v.outage, func() {
-		for _, h := range v.leases {
-			h.until = max(h.until, v.sim.now+h.ttl)
+	v.outageUntil = max(v.outageUntil, v.sim.now+d)
+	v.sim.At(v.outageUntil, func() {
+		for _, l := range v.leases {
+			l.expires = max(l.expires, v.sim.now+l.ttl)
 		}
 	})
 }
 
 func (v *Store) set(key string, e *entry) {
-	i, found := slices.BinarySearch(v.names, key)
+	i, found := slices.BinarySearch(v.sortedKeys, key)
 	switch {
 	case e == nil && found:
-		v.names = slices.Delete(v.names, i, i+1)
+		v.sortedKeys = slices.Delete(v.sortedKeys, i, i+1)
 		delete(v.keys, key)
 		v.log = append(v.log, store.Event{Delete: key, Revision: v.rev})
 	case e != nil:
 		if !found {
-			v.names = slices.Insert(v.names, i, key)
+			v.sortedKeys = slices.Insert(v.sortedKeys, i, key)
 		}
 		v.keys[key] = e
 		v.log = append(v.log, store.Event{Set: key, Value: e.value, Revision: e.revision})
 	}
 }
 
-func (v *Store) changed() {
+func (v *Store) notifyWatches() {
 	watches := v.watches
 	v.watches = nil
 	for _, w := range watches {
@@ -89,52 +89,52 @@
 	}
 }
 
-// expire ends a hold when its time is over, and its keys with it.
+// expire deletes a lease and its keys if the lease has expired; otherwise it schedules the next check.
 func (v *Store) expire(id uint64) {
-	h := v.leases[id]
+	l := v.leases[id]
 	switch {
-	case h == nil:
-	case v.sim.now < v.outage:
-		v.sim.At(v.outage+time.Millisecond, func() { v.expire(id) })
-	case v.sim.now < h.until:
-		v.sim.At(h.until, func() { v.expire(id) })
+	case l == nil:
+	case v.sim.now < v.outageUntil:
+		v.sim.At(v.outageUntil+time.Millisecond, func() { v.expire(id) })
+	case v.sim.now < l.expires:
+		v.sim.At(l.expires, func() { v.expire(id) })
 	default:
 		delete(v.leases, id)
-		var gone []string
-		for _, key := range v.names {
+		var expired []string
+		for _, key := range v.sortedKeys {
 			if v.keys[key].lease == id {
-				gone = append(gone, key)
+				expired = append(expired, key)
 			}
 		}
-		if len(gone) > 0 {
+		if len(expired) > 0 {
 			v.rev++
-			for _, key := range gone {
+			for _, key := range expired {
 				if v.OnKeyExpired != nil {
 					v.OnKeyExpired(key)
 				}
 				v.set(key, nil)
 			}
-			v.changed()
+			v.notifyWatches()
 		}
 	}
 }
 
-// Txn carries a transaction out.
+// Txn executes a transaction.
 func (v *Store) Txn(t store.Txn) (store.TxnResult, error) {
 	if v.OnTxn != nil {
 		v.OnTxn(t)
 	}
 	if len(t.Writes) > v.TxnOps || len(t.Preconditions) > 4*v.TxnOps {
-		return store.TxnResult{}, fmt.Errorf("%w: %w", store.ErrRefused, store.ErrTooLarge) // as the client says
+		return store.TxnResult{}, fmt.Errorf("%w: %w", store.ErrRefused, store.ErrTooLarge) // the error that the store's client returns
 	}
 	out := store.TxnResult{Revision: v.rev}
-	for _, g := range t.Preconditions {
-		stamp := uint64(0)
-		if e := v.keys[g.Key]; e != nil {
-			stamp = e.revision
+	for _, p := range t.Preconditions {
+		current := uint64(0)
+		if e := v.keys[p.Key]; e != nil {
+			current = e.revision
 		}
-		if stamp != g.Revision {
-			out.Failed = append(out.Failed, g.Key)
+		if current != p.Revision {
+			out.Failed = append(out.Failed, p.Key)
 		}
 	}
 	if len(out.Failed) > 0 || len(t.Writes) == 0 {
@@ -154,11 +154,11 @@
 			v.set(w.Set, &entry{w.Value, v.rev, w.Lease})
 		}
 	}
-	v.changed()
+	v.notifyWatches()
 	return out, nil
 }
 
-// Get reads a key.
+// Get returns the value and revision of a key.
 func (v *Store) Get(key string) (store.Item, error) {
 	if e := v.keys[key]; e != nil {
 		return store.Item{Key: key, Value: e.value, Revision: e.revision}, nil
@@ -166,10 +166,10 @@
 	return store.Item{Key: key, Revision: v.rev}, store.ErrNotFound
 }
 
-// List reads the keys that begin with a prefix, and the revision that this is as of.
+// List returns the items whose keys begin with a prefix, and the store's current revision.
 func (v *Store) List(prefix string) (items []store.Item, rev uint64) {
-	i, _ := slices.BinarySearch(v.names, prefix)
-	for _, key := range v.names[i:] {
+	i, _ := slices.BinarySearch(v.sortedKeys, prefix)
+	for _, key := range v.sortedKeys[i:] {
 		if !strings.HasPrefix(key, prefix) {
 			break
 		}
@@ -178,13 +178,13 @@
 	return items, v.rev
 }
 
-// Watch replies with the changes of keys with a prefix after a revision, as soon as
-// there are any, at the latest after wait. A node that is refused waits on.
+// Watch calls reply with the changes after a revision of keys with a prefix, as soon as there
+// are any, and at the latest after wait. While the store refuses the node, there is no reply.
 func (v *Store) Watch(node, prefix string, after uint64, wait time.Duration, reply func(events []store.Event, rev uint64)) {
 	until := v.sim.now + wait
 	answered := false
-	var look func()
-	look = func() {
+	var poll func()
+	poll = func() {
 		if answered {
 			return
 		}
@@ -196,22 +196,22 @@
 			}
 		}
 		switch {
-		case v.Refuses(node): // it waits as in an outage
-			v.sim.After(200*time.Millisecond, look)
+		case v.Refuses(node): // the node gets no reply, as in an outage
+			v.sim.After(200*time.Millisecond, poll)
 		case len(found) > 0 || v.sim.now >= until:
 			answered = true
 			reply(found, v.rev)
 		default:
-			v.watches = append(v.watches, look)
+			v.watches = append(v.watches, poll)
 		}
 	}
 	if wait > 0 {
-		v.sim.At(until, look)
+		v.sim.At(until, poll)
 	}
-	look()
+	poll()
 }
 
-// GrantLease makes a hold, which ends when it is not touched for ttl.
+// GrantLease creates a lease, which expires when it is not renewed for ttl.
 func (v *Store) GrantLease(ttl time.Duration) uint64 {
 	v.lastID++
 	id := v.lastID
@@ -220,12 +220,12 @@
 	return id
 }
 
-// KeepAlive has a hold begin anew.
+// KeepAlive renews a lease for its full TTL.
 func (v *Store) KeepAlive(id uint64) error {
-	h := v.leases[id]
-	if h == nil {
+	l := v.leases[id]
+	if l == nil {
 		return store.ErrLeaseNotFound
 	}
-	h.until = v.sim.now + h.ttl
+	l.expires = v.sim.now + l.ttl
 	return nil
 }
--- a/internal/standin/link.go
+++ b/internal/standin/link.go
@@ -6,60 +6,60 @@
 	"sync"
 )
 
-// Link passes connections on to an address. Cut, it holds back what is sent and lets no
-// new connection through, as a network does that drops packets; healed, what was held
-// back is delivered in order.
+// Link is a TCP proxy that forwards connections to an address. While it is cut, it holds back
+// the data that is sent and forwards no new connection, like a network that drops packets. When
+// it is healed, it delivers the data that it held back, in order.
 type Link struct {
 	net.Listener
-	to string
+	target string
 
-	mu    sync.Mutex
-	heal  *sync.Cond
-	cut   bool
-	ended bool
-	conns map[net.Conn]bool
+	mu           sync.Mutex
+	stateChanged *sync.Cond
+	cut          bool
+	closed       bool
+	conns        map[net.Conn]bool
 }
 
-// NewLink listens on addr and passes on to another address.
-func NewLink(addr, to string) (*Link, error) {
+// NewLink listens on addr and forwards connections to target.
+func NewLink(addr, target string) (*Link, error) {
 	l, err := net.Listen("tcp4", addr)
 	if err != nil {
 		return nil, err
 	}
-	k := &Link{Listener: l, to: to, conns: map[net.Conn]bool{}}
-	k.heal = sync.NewCond(&k.mu)
+	k := &Link{Listener: l, target: target, conns: map[net.Conn]bool{}}
+	k.stateChanged = sync.NewCond(&k.mu)
 	go k.accept()
 	return k, nil
 }
 
-// Cut cuts or heals the link.
+// Cut cuts the link if on is true, and heals it otherwise.
 func (k *Link) Cut(on bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.cut = on
-	k.heal.Broadcast()
+	k.stateChanged.Broadcast()
 }
 
-// Close ends the link and all of its connections.
+// Close closes the link and all of its connections.
 func (k *Link) Close() error {
 	k.mu.Lock()
-	k.ended = true
+	k.closed = true
 	for c := range k.conns {
 		_ = c.Close()
 	}
-	k.heal.Broadcast()
+	k.stateChanged.Broadcast()
 	k.mu.Unlock()
 	return k.Listener.Close()
 }
 
-// open waits until the link is not cut; false if it has ended.
-func (k *Link) open() bool {
+// waitOpen waits while the link is cut. It returns false if the link was closed.
+func (k *Link) waitOpen() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	for k.cut && !k.ended {
-		k.heal.Wait()
+	for k.cut && !k.closed {
+		k.stateChanged.Wait()
 	}
-	return !k.ended
+	return !k.closed
 }
 
 func (k *Link) accept() {
@@ -68,28 +68,28 @@
 		if err != nil {
 			return
 		}
-		go k.pass(c)
+		go k.forward(c)
 	}
 }
 
-func (k *Link) pass(c net.Conn) {
+func (k *Link) forward(c net.Conn) {
 	defer func() { _ = c.Close() }()
-	if !k.open() {
+	if !k.waitOpen() {
 		return
 	}
-	far, err := net.Dial("tcp4", k.to)
+	upstream, err := net.Dial("tcp4", k.target)
 	if err != nil {
 		return
 	}
-	defer func() { _ = far.Close() }()
+	defer func() { _ = upstream.Close() }()
 	k.mu.Lock()
-	k.conns[c], k.conns[far] = true, true
+	k.conns[c], k.conns[upstream] = true, true
 	k.mu.Unlock()
 	done := make(chan struct{}, 2)
-	for _, way := range [][2]net.Conn{{c, far}, {far, c}} {
+	for _, direction := range [][2]net.Conn{{c, upstream}, {upstream, c}} {
 		go func() {
-			k.copy(way[1], way[0])
-			_ = way[1].Close()
+			k.copy(direction[1], direction[0])
+			_ = direction[1].Close()
 			done <- struct{}{}
 		}()
 	}
@@ -97,7 +97,7 @@
 	<-done
 	k.mu.Lock()
 	delete(k.conns, c)
-	delete(k.conns, far)
+	delete(k.conns, upstream)
 	k.mu.Unlock()
 }
 
@@ -105,11 +105,11 @@
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
-		if n > 0 && (!k.open() || write(to, buf[:n]) != nil) {
+		if n > 0 && (!k.waitOpen() || write(to, buf[:n]) != nil) {
 			return
 		}
 		if err != nil {
-			k.open() // the end is held back as well
+			k.waitOpen() // a cut link holds back the end of the stream as well
 			return
 		}
 	}
--- a/internal/standin/traffic.go
+++ b/internal/standin/traffic.go
@@ -6,8 +6,8 @@
 	"sync/atomic"
 )
 
-// Traffic counts what a machine's worker sends and receives, in bytes of its connections'
-// payload: HTTP with its headers, without those of TCP and IP.
+// Traffic counts the bytes that a machine's worker sends and receives, and its requests. The
+// bytes include HTTP with its headers, but not the headers of TCP and IP.
 type Traffic struct {
 	sent, received, requests atomic.Int64
 }
@@ -53,7 +53,7 @@
 	traffic *Traffic
 }
 
-// Accept wraps an accepted connection.
+// Accept returns a connection whose bytes are counted.
 func (l countedListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
@@ -62,7 +62,7 @@
 	return countedConn{conn, l.traffic}, nil
 }
 
-// Traffic lists what each machine's worker has sent and received, by the machine's name.
+// Traffic returns the traffic counts of each machine's worker, by machine name.
 func (c *Cloud) Traffic() map[string]Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
