--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -125,7 +125,7 @@
 		v.OnTxn(t)
 	}
 	if len(t.Writes) > v.TxnOps || len(t.Preconditions) > 4*v.TxnOps {
-		return store.TxnResult{}, fmt.Errorf("%w: %w", store.ErrRefused, store.ErrTooLarge) // the error that the store's client returns
+		return store.TxnResult{}, fmt.Errorf("%w: %w", store.ErrRefused, store.ErrTooLarge) // as the client does
 	}
 	out := store.TxnResult{Revision: v.rev}
 	for _, p := range t.Preconditions {
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -26,35 +26,36 @@
 	SpotPrice   float64
 	Boot        time.Duration
 	Zones       []string
-	Limit       int // machines of it in a zone, of each kind; 0: any number
+	Limit       int // most machines of the type per zone, for spot and on-demand each; 0: unlimited
 }
 
-// Options say what a cloud and its workers are like.
+// Options configures a cloud and its workers.
 type Options struct {
 	Nodes  map[string]string // addresses of the controllers, by name
 	Types  []*Type
 	Lease  time.Duration
-	Report time.Duration // between two reports
-	Soon   time.Duration // least time between reports when something changes
-	Speed  float64       // how much faster boots, fetches, saves and tasks go; 0: 1
-	// Jobs tells the description of a job; nil for one that is not known.
+	Report time.Duration // mean interval between heartbeats
+	Soon   time.Duration // minimum interval between heartbeats when something changes
+	Speed  float64       // factor by which boots, image fetches and checkpoints are faster; 0 means 1
+	// Jobs returns the description of a job, or nil for an unknown job.
 	Jobs func(id string) *model.Job
-	// Takes tells how long a task runs.
+	// Takes returns how long a task runs. Speed does not apply to it.
 	Takes func(j *model.Job, index int) time.Duration
-	// Fails tells whether a job's tasks end with an error; nil: none does.
+	// Fails reports whether a job's tasks end with an error; nil: none does.
 	Fails func(j *model.Job) bool
-	// Callable has direct calls reach every machine, not every other one only.
+	// Callable makes every machine reachable by direct calls, instead of every other one.
 	Callable bool
-	// Observe is told of each task that comes to be on a machine or leaves it, under the cloud's
-	// lock and in the order in which it happens; nil: nobody is.
+	// Observe is called for each task that becomes active on a machine or stops being active, under
+	// the cloud's lock and in the order of these events; nil: no call.
 	Observe func(e Event)
 }
 
-// Event is a task that comes to be on a machine, or leaves it.
+// Event says that a task became active on a machine, or stopped being active there. A task that
+// is still fetching its image is not active yet.
 type Event struct {
 	At      time.Time
-	On      bool // it came; else it left
-	Done    bool // it left since it was completed
+	On      bool // it became active; false: it stopped being active
+	Done    bool // it stopped being active because it was completed
 	Job     *model.Job
 	Task    string
 	Machine string
@@ -63,7 +64,7 @@
 	Spot    bool
 }
 
-// scaled is a time at the cloud's speed.
+// scaled returns a duration divided by the cloud's Speed.
 func (o *Options) scaled(d time.Duration) time.Duration {
 	if o.Speed > 0 {
 		return time.Duration(float64(d) / o.Speed)
@@ -71,7 +72,8 @@
 	return d
 }
 
-// Cloud rents machines, each with a worker that reports to the controllers.
+// Cloud is a stand-in for the cloud, which rents out machines. Each machine has a worker that
+// sends heartbeats to the controllers.
 type Cloud struct {
 	*httptest.Server
 	opt    Options
@@ -83,18 +85,18 @@
 	rented         map[offer]int
 	launchRequests map[string][]string
 	count          int
-	running        map[string]*attempt              // the copy of each task that is on a machine
-	gangs          map[gangAttempt]map[int]*attempt // those of gangs, by their index
-	finished       map[string]bool                  // tasks whose result is kept
-	progress       map[string]time.Duration         // saved
-	stored         map[string]uint64                // by gang: the attempt whose progress was saved
-	broken         []string
+	running        map[string]*attempt              // the active attempt of each task
+	gangs          map[gangAttempt]map[int]*attempt // active attempts of gangs' tasks, by task index
+	finished       map[string]bool                  // names of completed tasks
+	progress       map[string]time.Duration         // run time that checkpoints cover, by attempt.key
+	savedAttempt   map[string]uint64                // by gang's job ID: the attempt that was saved last
+	violations     []string
 	started        int
-	killed         int           // tasks that ended with their machine's lease
-	wastedCPUTime  time.Duration // run time of tasks that ended without being done or saved, in CPU time
+	killed         int           // tasks that ended because their machine's lease expired
+	wastedCPUTime  time.Duration // run time times CPUs of tasks that ended without being completed or saved
 }
 
-// offer is what the cloud has a limited number of.
+// offer is a kind of machine whose number the cloud limits.
 type offer struct {
 	typ  *Type
 	zone string
@@ -107,13 +109,13 @@
 	number uint64
 }
 
-// deadListed is for how long a machine that failed is listed as running.
-const deadListed = 30 * time.Second
+// failedListedFor is how long a failed machine is still listed as running.
+const failedListedFor = 30 * time.Second
 
 // NewCloud starts a cloud on a loopback port.
 func NewCloud(opt Options) *Cloud {
 	c := &Cloud{opt: opt, closed: make(chan struct{}), now: time.Now(), machines: map[string]*machine{}, rented: map[offer]int{},
-		launchRequests: map[string][]string{}, running: map[string]*attempt{}, gangs: map[gangAttempt]map[int]*attempt{}, finished: map[string]bool{}, progress: map[string]time.Duration{}, stored: map[string]uint64{}}
+		launchRequests: map[string][]string{}, running: map[string]*attempt{}, gangs: map[gangAttempt]map[int]*attempt{}, finished: map[string]bool{}, progress: map[string]time.Duration{}, savedAttempt: map[string]uint64{}}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /machine_types", c.types)
 	mux.HandleFunc("POST /hosts", c.rent)
@@ -123,9 +125,9 @@
 	return c
 }
 
-// remove forgets a machine.
+// remove terminates a machine and deletes it from the cloud.
 func (c *Cloud) remove(m *machine) {
-	m.end()
+	m.terminate()
 	delete(c.machines, m.name)
 	c.rented[offer{m.typ, m.zone, m.spot}]--
 }
@@ -135,49 +137,50 @@
 	close(c.closed)
 	c.mu.Lock()
 	for _, m := range c.machines {
-		m.halt()
+		m.stopWorker()
 	}
 	c.mu.Unlock()
 	c.Server.Close()
 }
 
-// Broken lists the rules that were broken: tasks on two machines at once, and gangs that
-// ran with fewer than all of their pieces.
+// Broken returns the violations of the rules: tasks that were active on two machines at once, and
+// gangs that completed with fewer than all of their tasks.
 func (c *Cloud) Broken() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return slices.Clone(c.broken)
+	return slices.Clone(c.violations)
 }
 
-// Running counts the tasks that are on a machine.
+// Running returns the number of tasks that are active on a machine.
 func (c *Cloud) Running() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.running)
 }
 
-// Started counts the tasks that ever came to be on a machine.
+// Started returns how many times a task has become active on a machine.
 func (c *Cloud) Started() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.started
 }
 
-// Killed counts the tasks that ended with their machine's lease.
+// Killed returns the number of tasks that ended because their machine's lease expired.
 func (c *Cloud) Killed() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.killed
 }
 
-// WastedCPUTime is the run time of tasks that ended without being done or saved, in CPU time.
+// WastedCPUTime returns the CPU time (run time times CPUs) of tasks that ended without being completed or saved.
 func (c *Cloud) WastedCPUTime() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.wastedCPUTime
 }
 
-// On names the tasks that are on a machine or on their way to be.
+// On returns the names of a machine's tasks that have not exited, including those that are still
+// fetching their image.
 func (c *Cloud) On(name string) (tasks []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -191,7 +194,7 @@
 	return tasks
 }
 
-// Machines names the machines that are rented.
+// Machines returns the sorted names of the rented machines.
 func (c *Cloud) Machines() (names []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -202,20 +205,20 @@
 	return names
 }
 
-// Hang has a machine do nothing for a while. It tells whether there is such a machine.
+// Hang makes a machine do nothing for d. It reports whether the machine exists.
 func (c *Cloud) Hang(name string, d time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	m := c.machines[name]
 	if m != nil {
-		m.hung = time.Now().Add(d)
-		m.arm()
+		m.hungUntil = time.Now().Add(d)
+		m.resetTimer()
 	}
 	return m != nil
 }
 
-// Fail has a machine stop with all that is on it. It is listed for a while longer. It tells
-// whether there is such a machine.
+// Fail makes a machine stop with all its tasks. The cloud lists it for failedListedFor longer. Fail
+// reports whether the machine existed and had not failed yet.
 func (c *Cloud) Fail(name string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -225,8 +228,8 @@
 	}
 	c.now = time.Now()
 	m.failed = true
-	m.end()
-	time.AfterFunc(deadListed, func() {
+	m.terminate()
+	time.AfterFunc(failedListedFor, func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		if c.machines[name] == m {
@@ -236,25 +239,26 @@
 	return true
 }
 
-// Recall has the cloud take a machine away after a notice. It tells whether there is such
-// a machine.
+// Recall makes the cloud take a machine away after a notice period. It reports whether the machine
+// exists.
 func (c *Cloud) Recall(name string, notice time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	m := c.machines[name]
 	if m != nil {
-		m.recall = time.Now().Add(notice)
-		m.change()
-		m.arm()
+		m.recallAt = time.Now().Add(notice)
+		m.reportSoon()
+		m.resetTimer()
 	}
 	return m != nil
 }
 
-// began keeps account of who runs what.
-func (c *Cloud) began(t *attempt) {
+// recordStart records that an attempt became active, and checks that no other attempt of its
+// task is active.
+func (c *Cloud) recordStart(t *attempt) {
 	c.started++
 	if o := c.running[t.name]; o != nil && o != t {
-		c.broken = append(c.broken, "ran twice: "+t.name+" on "+o.m.name+" and "+t.m.name)
+		c.violations = append(c.violations, "ran twice: "+t.name+" on "+o.m.name+" and "+t.m.name)
 	}
 	c.running[t.name] = t
 	if t.job.Shape == model.Gang {
@@ -267,7 +271,7 @@
 	c.observe(t, true)
 }
 
-func (c *Cloud) left(t *attempt) {
+func (c *Cloud) recordEnd(t *attempt) {
 	if c.running[t.name] == t {
 		delete(c.running, t.name)
 	}
@@ -288,7 +292,7 @@
 	}
 }
 
-// gang is what of a gang's attempt is on machines, in the order of its pieces.
+// gang returns the active attempts of t's gang, in the order of their task indexes.
 func (c *Cloud) gang(t *attempt) (out []*attempt) {
 	for _, o := range c.gangs[gangAttempt{t.job, t.number}] {
 		out = append(out, o)
@@ -297,7 +301,7 @@
 	return out
 }
 
-// done completes a task, and all of its gang with it.
+// done completes a task, or all tasks of its gang.
 func (c *Cloud) done(t *attempt) {
 	if t.job.Shape != model.Gang {
 		c.finished[t.name] = true
@@ -306,7 +310,7 @@
 	}
 	gang := c.gang(t)
 	if len(gang) != t.job.Tasks {
-		c.broken = append(c.broken, fmt.Sprintf("gang %s completed with %d of %d pieces", t.job.ID, len(gang), t.job.Tasks))
+		c.violations = append(c.violations, fmt.Sprintf("gang %s completed with %d of %d pieces", t.job.ID, len(gang), t.job.Tasks))
 	}
 	for i := range t.job.Tasks {
 		c.finished[model.TaskName(t.job.ID, i)] = true
@@ -347,10 +351,10 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	names, known := c.launchRequests[q.Charter]
-	of := offer{t, q.Yard, q.Loaners}
-	for !known && len(names) < q.Number && (t.Limit == 0 || c.rented[of] < t.Limit) {
+	wanted := offer{t, q.Yard, q.Loaners}
+	for !known && len(names) < q.Number && (t.Limit == 0 || c.rented[wanted] < t.Limit) {
 		c.count++
-		c.rented[of]++
+		c.rented[wanted]++
 		name := fmt.Sprintf("vm-%06d", c.count)
 		names = append(names, name)
 		c.boot(name, t, q.Yard, q.Loaners)
@@ -396,7 +400,7 @@
 	for _, name := range names[:min(500, len(names))] {
 		m := c.machines[name]
 		stage := "running"
-		if m.upAt.After(c.now) {
+		if m.bootedAt.After(c.now) {
 			stage = "booting"
 		}
 		all = append(all, map[string]any{"nameId": name, "addr": "", "hull": m.typ.Name, "yard": m.zone, "loaners": m.spot,
@@ -405,12 +409,13 @@
 	reply(w, 200, map[string]any{"berths": all, "more": more})
 }
 
-// boot begins a machine. Every other one can be called directly, or all of them.
+// boot starts a machine. Direct calls reach every other machine, or all of them with
+// Options.Callable.
 func (c *Cloud) boot(name string, t *Type, zone string, spot bool) {
 	ctx, cancel := context.WithCancel(context.Background())
 	now := time.Now()
 	up := now.Add(time.Duration(float64(c.opt.scaled(t.Boot)) * (0.6 + 0.9*rand.Float64())))
-	m := &machine{cloud: c, name: name, typ: t, zone: zone, spot: spot, rented: now, upAt: up, session: 1, leased: up, stop: cancel,
+	m := &machine{cloud: c, name: name, typ: t, zone: zone, spot: spot, rented: now, bootedAt: up, session: 1, leaseStart: up, stop: cancel,
 		wake: make(chan struct{}, 1)}
 	addr := "127.0.0.1:1"
 	if c.count%2 == 0 || c.opt.Callable {
@@ -421,11 +426,11 @@
 		m.stop = func() { cancel(); go server.Close() }
 	}
 	c.machines[name] = m
-	m.timer = time.AfterFunc(time.Until(up), m.due)
+	m.timer = time.AfterFunc(time.Until(up), m.onTimer)
 	go m.serve(ctx, addr)
 }
 
-// orders serves direct calls.
+// orders handles the direct calls of controllers.
 func (m *machine) orders(w http.ResponseWriter, r *http.Request) {
 	var q struct {
 		Token    *uint64         `json:"baton"`
@@ -438,9 +443,9 @@
 	}
 	c := m.cloud
 	m.traffic.requests.Add(1)
-	for { // a machine that hangs answers when it goes on
+	for { // a hung machine responds when it resumes
 		c.mu.Lock()
-		left := time.Until(m.hung)
+		left := time.Until(m.hungUntil)
 		if left <= 0 {
 			break
 		}
@@ -448,7 +453,7 @@
 		time.Sleep(left)
 	}
 	defer c.mu.Unlock()
-	if c.machines[m.name] != m || m.failed || time.Now().Before(m.upAt) {
+	if c.machines[m.name] != m || m.failed || time.Now().Before(m.bootedAt) {
 		reply(w, 503, map[string]string{"error": "not there"})
 		return
 	}
@@ -456,13 +461,13 @@
 	status := 409
 	if *q.Token >= m.token && *q.Session == m.session {
 		status = 200
-		m.sees(*q.Token)
-		m.obey(q.Commands, time.Now())
+		m.observeToken(*q.Token)
+		m.execute(q.Commands, time.Now())
 	}
 	reply(w, status, m.report(r.Host))
 }
 
-// serve reports to the controllers until ctx ends.
+// serve sends heartbeats to the controllers until ctx ends.
 func (m *machine) serve(ctx context.Context, addr string) {
 	c := m.cloud
 	var members []string
@@ -473,14 +478,14 @@
 	client := &http.Client{Timeout: 4 * time.Second, Transport: &http.Transport{DialContext: m.traffic.dial}}
 	defer client.CloseIdleConnections()
 	to := rand.IntN(len(members))
-	wait := time.Until(m.upAt)
+	wait := time.Until(m.bootedAt)
 	for {
 		if !m.sleep(ctx, wait) {
 			return
 		}
 		c.mu.Lock()
 		c.now = time.Now()
-		hung := time.Until(m.hung)
+		hung := time.Until(m.hungUntil)
 		sent, session := time.Now(), m.session
 		body, _ := json.Marshal(m.report(addr))
 		c.mu.Unlock()
@@ -489,10 +494,10 @@
 			continue
 		}
 		m.traffic.requests.Add(1)
-		status, answer := post(ctx, client, "http://"+c.opt.Nodes[members[to]]+"/checkin", body)
+		status, response := post(ctx, client, "http://"+c.opt.Nodes[members[to]]+"/checkin", body)
 		wait = c.opt.Report*3/4 + time.Duration(rand.Int64N(int64(c.opt.Report/2)+1))
 		if status != 200 {
-			if i := slices.Index(members, answer.Leader); status == 421 && i >= 0 && i != to {
+			if i := slices.Index(members, response.Leader); status == 421 && i >= 0 && i != to {
 				to, wait = i, time.Duration(rand.Int64N(int64(c.opt.Soon)+1))
 			} else {
 				to, wait = (to+1)%len(members), min(time.Second, c.opt.Report)
@@ -501,11 +506,11 @@
 		}
 		c.mu.Lock()
 		c.now = time.Now()
-		if answer.Token >= m.token && session == m.session && time.Now().After(m.hung) {
-			m.leased = sent
-			m.arm()
-			m.sees(answer.Token)
-			m.obey(answer.Commands, time.Now())
+		if response.Token >= m.token && session == m.session && time.Now().After(m.hungUntil) {
+			m.leaseStart = sent
+			m.resetTimer()
+			m.observeToken(response.Token)
+			m.execute(response.Commands, time.Now())
 		}
 		c.mu.Unlock()
 	}
@@ -533,11 +538,12 @@
 	return resp.StatusCode, a
 }
 
-// sleep waits for the next report, which comes sooner when something changes.
+// sleep waits until the next heartbeat is due: after d, or sooner when something changes. It
+// returns false if ctx has ended.
 func (m *machine) sleep(ctx context.Context, d time.Duration) bool {
 	until, soon := time.NewTimer(d), m.cloud.opt.Soon
 	defer until.Stop()
-	began := time.Now()
+	start := time.Now()
 	select {
 	case <-ctx.Done():
 		return false
@@ -545,7 +551,7 @@
 		return ctx.Err() == nil
 	case <-m.wake:
 	}
-	left := time.NewTimer(min(soon, d) - time.Since(began))
+	left := time.NewTimer(min(soon, d) - time.Since(start))
 	defer left.Stop()
 	select {
 	case <-ctx.Done():
--- a/internal/standin/machine.go
+++ b/internal/standin/machine.go
@@ -7,60 +7,60 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// machine is a rented machine with its worker, as the protocol has them. It is changed
-// under the cloud's lock only: time and commands go in, reports come out.
+// machine is a rented machine with its worker, which behaves as the protocol requires. It is
+// changed only under the cloud's lock, by the passing of time and by commands.
 type machine struct {
-	cloud  *Cloud
-	name   string
-	typ    *Type
-	zone   string
-	spot   bool
-	rented time.Time
-	upAt   time.Time
-	hung   time.Time // until then nothing happens
-	recall time.Time // when the cloud takes it; zero: not announced
+	cloud     *Cloud
+	name      string
+	typ       *Type
+	zone      string
+	spot      bool
+	rented    time.Time
+	bootedAt  time.Time
+	hungUntil time.Time // the machine does nothing until then
+	recallAt  time.Time // when the cloud takes the machine away; zero: not announced
 
 	session, seq, token uint64
-	leased              time.Time // when the last answered report was sent, or the session began
+	leaseStart          time.Time // when the last answered heartbeat was sent, or the session began
 	tasks               []*attempt
-	images              []string      // the last used one last
-	wake                chan struct{} // a report is due soon
-	timer               *time.Timer   // when something is due
-	failed              bool          // it stopped, and is listed for a while longer
+	images              []string      // cached images, the most recently used last
+	wake                chan struct{} // signals that a heartbeat is due soon
+	timer               *time.Timer   // fires when the next timed change is due
+	failed              bool          // the machine stopped, but is still listed
 	stop                func()
 	traffic             Traffic
 }
 
-// change has the next report come soon.
-func (m *machine) change() {
+// reportSoon makes the machine send the next heartbeat soon.
+func (m *machine) reportSoon() {
 	select {
 	case m.wake <- struct{}{}:
 	default:
 	}
 }
 
-// arm sets the timer to what is due first.
-func (m *machine) arm() {
-	at := m.leased.Add(m.cloud.opt.Lease + time.Millisecond)
+// resetTimer sets the timer to the earliest timed change.
+func (m *machine) resetTimer() {
+	at := m.leaseStart.Add(m.cloud.opt.Lease + time.Millisecond)
 	for _, t := range m.tasks {
 		if !t.next.IsZero() && t.next.Before(at) {
 			at = t.next
 		}
 	}
-	if at.Before(m.hung) {
-		at = m.hung
+	if at.Before(m.hungUntil) {
+		at = m.hungUntil
 	}
-	if !m.recall.IsZero() && m.recall.Before(at) {
-		at = m.recall
+	if !m.recallAt.IsZero() && m.recallAt.Before(at) {
+		at = m.recallAt
 	}
-	if at.Before(m.upAt) {
-		at = m.upAt
+	if at.Before(m.bootedAt) {
+		at = m.bootedAt
 	}
 	m.timer.Reset(time.Until(at))
 }
 
-// due does what is due, when the timer fires.
-func (m *machine) due() {
+// onTimer makes the changes that are due when the timer fires.
+func (m *machine) onTimer() {
 	c := m.cloud
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -68,52 +68,53 @@
 		return
 	}
 	c.now = time.Now()
-	if !m.recall.IsZero() && !c.now.Before(m.recall) {
+	if !m.recallAt.IsZero() && !c.now.Before(m.recallAt) {
 		c.remove(m)
 		return
 	}
 	m.advance(c.now)
-	m.arm()
+	m.resetTimer()
 }
 
-// halt ends the machine's worker.
-func (m *machine) halt() {
+// stopWorker stops the machine's worker.
+func (m *machine) stopWorker() {
 	m.timer.Stop()
 	m.stop()
 }
 
-// attempt is a task on a machine.
+// attempt is an attempt of a task on a machine.
 type attempt struct {
-	m       *machine
-	job     *model.Job // nil: it was refused
-	name    string
-	index   int
-	number  uint64
-	state   model.TaskState
-	cause   model.Cause
-	saved   bool
-	next    time.Time // when its state ends by itself; zero: never
-	began   time.Time // running since
-	doomed  bool      // a piece of its gang is gone: it exits when next comes
-	already time.Duration
+	m             *machine
+	job           *model.Job // nil: the job is unknown, and the attempt was refused
+	name          string
+	index         int
+	number        uint64
+	state         model.TaskState
+	cause         model.Cause
+	saved         bool
+	next          time.Time // when the state ends without a command; zero: never
+	runningSince  time.Time
+	gangBroken    bool // another task of its gang has ended; this one exits at next
+	savedProgress time.Duration
 }
 
-// on tells whether a task is on its machine in the rules' sense.
-func (t *attempt) on() bool {
+// active reports whether the attempt counts as being on its machine: it has fetched its image and
+// has not exited.
+func (t *attempt) active() bool {
 	return t.state != model.TaskFetching && t.state != model.TaskExited
 }
 
-// to is the one place where an attempt's state changes.
-func (t *attempt) to(s model.TaskState, next time.Time) {
-	was := t.on()
+// setState changes the attempt's state. All changes of state after the start go through it.
+func (t *attempt) setState(s model.TaskState, next time.Time) {
+	was := t.active()
 	t.state, t.next = s, next
-	t.m.change()
-	t.m.arm()
-	switch is := t.on(); {
+	t.m.reportSoon()
+	t.m.resetTimer()
+	switch is := t.active(); {
 	case is && !was:
-		t.m.cloud.began(t)
+		t.m.cloud.recordStart(t)
 	case was && !is:
-		t.m.cloud.left(t)
+		t.m.cloud.recordEnd(t)
 	}
 }
 
@@ -123,32 +124,32 @@
 	}
 	ran := t.state == model.TaskRunning || t.state == model.TaskSaving
 	if ran && cause != model.CauseDone && !saved && t.job.Shape != model.Service {
-		t.m.cloud.wastedCPUTime += time.Duration(float64(t.m.cloud.now.Sub(t.began)) * t.job.Size.CPUs)
+		t.m.cloud.wastedCPUTime += time.Duration(float64(t.m.cloud.now.Sub(t.runningSince)) * t.job.Size.CPUs)
 	}
 	t.cause, t.saved = cause, saved
-	t.to(model.TaskExited, time.Time{})
+	t.setState(model.TaskExited, time.Time{})
 	if t.job != nil && t.job.Shape == model.Gang && ran && cause != model.CauseDone {
 		for _, o := range t.m.cloud.gang(t) {
-			if !o.doomed && o.state == model.TaskRunning {
-				o.doomed, o.next = true, t.m.cloud.now.Add(gangPeer)
-				o.m.arm()
+			if !o.gangBroken && o.state == model.TaskRunning {
+				o.gangBroken, o.next = true, t.m.cloud.now.Add(gangPeerDelay)
+				o.m.resetTimer()
 			}
 		}
 	}
 }
 
-// Times of the protocol that the stand-in fixes.
+// Durations of the protocol to which the stand-in gives fixed values.
 const (
-	gangPeer = time.Second
-	gangWait = 30 * time.Second
+	gangPeerDelay   = time.Second
+	gangWaitTimeout = 30 * time.Second
 )
 
-// advance does what is due by now.
+// advance makes the changes that are due by now.
 func (m *machine) advance(now time.Time) {
-	if now.Sub(m.leased) > m.cloud.opt.Lease { // hung or not: none resumes its tasks after that
+	if now.Sub(m.leaseStart) > m.cloud.opt.Lease { // a hung machine must not resume tasks after its lease either
 		m.endSession(now)
 	}
-	if now.Before(m.hung) {
+	if now.Before(m.hungUntil) {
 		return
 	}
 	for _, t := range slices.Clone(m.tasks) {
@@ -161,7 +162,7 @@
 		case model.TaskWaitingForGang:
 			t.exit(model.CauseIsolated, false)
 		case model.TaskRunning:
-			if t.doomed {
+			if t.gangBroken {
 				t.exit(model.CausePeers, false)
 				continue
 			}
@@ -176,7 +177,7 @@
 	}
 }
 
-// endSession kills and forgets all tasks.
+// endSession ends and forgets all tasks and begins a new session.
 func (m *machine) endSession(now time.Time) {
 	for _, t := range m.tasks {
 		if t.state != model.TaskExited {
@@ -186,16 +187,16 @@
 	}
 	m.tasks = nil
 	m.session++
-	m.seq, m.leased = 0, now
-	m.change()
-	m.arm()
+	m.seq, m.leaseStart = 0, now
+	m.reportSoon()
+	m.resetTimer()
 }
 
 func (m *machine) fetched(t *attempt, now time.Time) {
 	image := t.job.Image
 	m.images = append(slices.DeleteFunc(m.images, func(i string) bool { return i == image }), image)
 	if m.cloud.finished[t.name] {
-		t.to(model.TaskWaitingForGang, time.Time{})
+		t.setState(model.TaskWaitingForGang, time.Time{})
 		t.exit(model.CauseDone, false)
 		return
 	}
@@ -203,7 +204,7 @@
 		t.run(now)
 		return
 	}
-	t.to(model.TaskWaitingForGang, now.Add(gangWait))
+	t.setState(model.TaskWaitingForGang, now.Add(gangWaitTimeout))
 	gang := m.cloud.gang(t)
 	if len(gang) == t.job.Tasks {
 		for _, o := range gang {
@@ -213,16 +214,16 @@
 }
 
 func (t *attempt) run(now time.Time) {
-	t.began = now
+	t.runningSince = now
 	next := time.Time{}
 	if t.job.Shape != model.Service {
-		t.already = t.m.cloud.progress[t.key()]
-		next = now.Add(max(0, t.m.cloud.opt.Takes(t.job, t.index)-t.already))
+		t.savedProgress = t.m.cloud.progress[t.key()]
+		next = now.Add(max(0, t.m.cloud.opt.Takes(t.job, t.index)-t.savedProgress))
 	}
-	t.to(model.TaskRunning, next)
+	t.setState(model.TaskRunning, next)
 }
 
-// key is whose progress counts: a gang has one for all of its tasks.
+// key returns the key under which progress is saved. All tasks of a gang share one.
 func (t *attempt) key() string {
 	if t.job.Shape == model.Gang {
 		return t.job.ID
@@ -230,39 +231,39 @@
 	return t.name
 }
 
-// finishCheckpoint ends a task that was told to stop and has saved. A gang's progress counts if all
-// of it save.
+// finishCheckpoint ends a task that received a stop command and has saved its checkpoint. A gang's
+// checkpoint counts only if all of its tasks save.
 func (t *attempt) finishCheckpoint(now time.Time) {
 	c := t.m.cloud
-	whole := true
+	allSaved := true
 	if t.job.Shape == model.Gang {
 		for _, o := range c.gang(t) {
-			whole = whole && o.state == model.TaskSaving
+			allSaved = allSaved && o.state == model.TaskSaving
 		}
-		whole = whole && len(c.gang(t)) == t.job.Tasks
+		allSaved = allSaved && len(c.gang(t)) == t.job.Tasks
 	}
-	if whole || c.stored[t.job.ID] == t.number {
+	if allSaved || c.savedAttempt[t.job.ID] == t.number {
 		if t.job.Shape == model.Gang {
-			c.stored[t.job.ID] = t.number
+			c.savedAttempt[t.job.ID] = t.number
 		}
-		c.progress[t.key()] = max(c.progress[t.key()], t.already+now.Sub(t.began)-c.opt.scaled(t.job.SaveTime))
+		c.progress[t.key()] = max(c.progress[t.key()], t.savedProgress+now.Sub(t.runningSince)-c.opt.scaled(t.job.SaveTime))
 		t.exit(model.CauseStopped, true)
 		return
 	}
 	t.exit(model.CausePeers, false)
 }
 
-// report writes the next report.
+// report returns the next heartbeat.
 func (m *machine) report(addr string) model.Heartbeat {
 	m.seq++
 	select {
-	case <-m.wake: // what changed is told now
+	case <-m.wake: // this heartbeat already reports what changed
 	default:
 	}
 	r := model.Heartbeat{Machine: m.name, Addr: addr, Type: m.typ.Name, Zone: m.zone, Spot: m.spot, Session: m.session, Seq: m.seq,
 		Token: m.token, Tasks: []model.TaskStatus{}}
-	if !m.recall.IsZero() {
-		left := max(0, m.recall.Sub(m.cloud.now).Seconds())
+	if !m.recallAt.IsZero() {
+		left := max(0, m.recallAt.Sub(m.cloud.now).Seconds())
 		r.NoticeS = &left
 	}
 	for _, t := range m.tasks {
@@ -271,14 +272,14 @@
 	return r
 }
 
-func (m *machine) sees(token uint64) {
+func (m *machine) observeToken(token uint64) {
 	if token > m.token {
 		m.token = token
-		m.change()
+		m.reportSoon()
 	}
 }
 
-func (m *machine) obey(commands []model.Command, now time.Time) {
+func (m *machine) execute(commands []model.Command, now time.Time) {
 	for _, c := range commands {
 		i := slices.IndexFunc(m.tasks, func(t *attempt) bool { return t.name == c.Task && t.number == c.Attempt })
 		switch {
@@ -299,21 +300,21 @@
 func (m *machine) start(c model.Command, now time.Time) {
 	id, index, _ := model.SplitTask(c.Task)
 	t := &attempt{m: m, job: m.cloud.opt.Jobs(id), name: c.Task, index: index, number: c.Attempt, state: model.TaskFetching}
-	room, busy := m.typ.Size, false
+	free, busy := m.typ.Size, false
 	for _, o := range m.tasks {
 		if o.state != model.TaskExited {
-			room = room.Sub(o.job.Size)
+			free = free.Sub(o.job.Size)
 			busy = busy || o.name == t.name
 		}
 	}
 	m.tasks = append(m.tasks, t)
-	m.change()
+	m.reportSoon()
 	switch {
 	case t.job == nil || index >= t.job.Tasks:
 		t.exit(model.CauseUnknown, false)
 	case busy:
 		t.exit(model.CauseBusy, false)
-	case !t.job.Size.Fits(room):
+	case !t.job.Size.Fits(free):
 		t.exit(model.CauseNoCapacity, false)
 	default:
 		fetch := time.Duration(0)
@@ -321,26 +322,26 @@
 			fetch = m.cloud.opt.scaled(model.Seconds(t.job.ImageGB / m.typ.FetchGBPerS))
 		}
 		t.next = now.Add(fetch)
-		m.arm()
+		m.resetTimer()
 	}
 }
 
-// stopTask ends a task, which saves first if it can and has the time.
+// stopTask ends a task. A running task with checkpoints saves first if the grace period suffices.
 func (m *machine) stopTask(t *attempt, grace time.Duration, now time.Time) {
 	switch {
 	case t.state == model.TaskExited, t.state == model.TaskSaving && grace > 0:
 	case t.state == model.TaskRunning && t.job.CheckpointEvery > 0 && grace >= t.job.SaveTime:
-		t.to(model.TaskSaving, now.Add(m.cloud.opt.scaled(t.job.SaveTime)))
+		t.setState(model.TaskSaving, now.Add(m.cloud.opt.scaled(t.job.SaveTime)))
 	default:
 		t.exit(model.CauseStopped, false)
 	}
 }
 
-// end takes the machine away with all that is on it.
-func (m *machine) end() {
+// terminate ends all tasks of the machine and its worker.
+func (m *machine) terminate() {
 	for _, t := range m.tasks {
 		t.exit(model.CauseStopped, false)
 	}
 	m.tasks = nil
-	m.halt()
+	m.stopWorker()
 }
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -1,7 +1,7 @@
-// Package standin holds small stand-ins for the outside systems, written from
-// the published protocol, for tests over real sockets: a state service, a
-// cloud and its workers. They use the standard library's HTTP, so that the
-// project's own parser meets another implementation.
+// Package standin provides small substitutes for the external systems, for tests over real
+// sockets: a state service, and a cloud with its workers. They are written from the published
+// protocol and use the standard library's HTTP, so that the project's own HTTP parser is tested
+// against another implementation.
 package standin
 
 import (
@@ -35,11 +35,11 @@
 }
 
 type lease struct {
-	ttl time.Duration
-	end time.Time
+	ttl     time.Duration
+	expires time.Time
 }
 
-// State is a state service.
+// State is a stand-in for the state service.
 type State struct {
 	*httptest.Server
 	mu       sync.Mutex
@@ -49,22 +49,22 @@
 	leases   map[uint64]*lease
 	lastID   uint64
 	refuse   bool
-	slow     time.Duration // answers come up to this much late
-	value    int           // most bytes of a value; 0: any
-	ops      int           // most changes of a transaction; 0: any
+	maxDelay time.Duration // each response is delayed by up to this
+	maxValue int           // limit of a value's bytes; 0: unlimited
+	maxOps   int           // limit of a transaction's writes; 0: unlimited
 	changed  chan struct{}
-	fates    func(keys []string) Fate // of transactions, by the keys that they change; nil: all are answered
-	late     [][]byte                 // transactions that are to be carried out late
+	fates    func(keys []string) Fate // chooses a transaction's fate by the keys that it writes; nil: all are Answered
+	delayed  [][]byte                 // bodies of the transactions that Deliver will execute
 	mux      *http.ServeMux
-	jobs     map[string]*model.Job // descriptions of all jobs that were ever stored
-	requests atomic.Int64          // requests
-	writes   atomic.Int64          // puts and deletes, of transactions whose guards failed as well
+	jobs     map[string]*model.Job // descriptions of all jobs that were ever stored, by ID
+	requests atomic.Int64          // number of requests
+	writes   atomic.Int64          // puts and deletes, including those of transactions whose preconditions failed
 }
 
-// RequestCounts counts the requests so far, and the puts and deletes in them.
+// RequestCounts returns the numbers of requests so far, and of puts and deletes in them.
 func (s *State) RequestCounts() (requests, writes int64) { return s.requests.Load(), s.writes.Load() }
 
-// Value is what is stored under a key; nil: nothing is.
+// Value returns the value of a key, or nil if the key is not stored.
 func (s *State) Value(key string) json.RawMessage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,7 +85,7 @@
 	s.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.requests.Add(1)
 		s.mu.Lock()
-		refuse, slow := s.refuse, s.slow
+		refuse, maxDelay := s.refuse, s.maxDelay
 		s.expire()
 		s.mu.Unlock()
 		if refuse {
@@ -93,40 +93,41 @@
 			return
 		}
 		if r.Method == http.MethodPost && r.URL.Path == "/txn" {
-			r = s.meet(r)
+			r = s.applyFate(r)
 		}
-		if slow == 0 {
+		if maxDelay == 0 {
 			mux.ServeHTTP(w, r)
 			return
 		}
-		answer := httptest.NewRecorder()
-		mux.ServeHTTP(answer, r)
-		time.Sleep(rand.N(slow))
-		w.WriteHeader(answer.Code)
-		_, _ = w.Write(answer.Body.Bytes())
+		response := httptest.NewRecorder()
+		mux.ServeHTTP(response, r)
+		time.Sleep(rand.N(maxDelay))
+		w.WriteHeader(response.Code)
+		_, _ = w.Write(response.Body.Bytes())
 	}))
 	return s
 }
 
-// Fate is what becomes of a transaction.
+// Fate says whether a transaction is executed at once and whether its response is lost.
 type Fate int
 
-// The fates.
+// The fates of a transaction.
 const (
 	Answered   Fate = iota
-	Unanswered      // carried out at once; its answer is lost
-	Late            // no answer; carried out by Deliver
+	Unanswered      // executed at once; the response is lost
+	Late            // executed later, by Deliver; there is no response
 )
 
-// Fates has f choose what becomes of transactions from now on, by the keys that they change.
+// Fates makes f choose the fate of each transaction from now on, by the keys that it writes.
 func (s *State) Fates(f func(keys []string) Fate) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fates = f
 }
 
-// meet has a transaction meet its fate; the request that it returns is to be answered.
-func (s *State) meet(r *http.Request) *http.Request {
+// applyFate returns the transaction's request if the fate is Answered. Otherwise it aborts the
+// request without a response, by a panic with http.ErrAbortHandler.
+func (s *State) applyFate(r *http.Request) *http.Request {
 	s.mu.Lock()
 	fates := s.fates
 	s.mu.Unlock()
@@ -137,11 +138,11 @@
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
-	r = again(body)
+	r = txnRequest(body)
 	var t struct {
 		Writes []struct{ Set, Delete string }
 	}
-	_ = json.Unmarshal(body, &t) // what is malformed is answered as such
+	_ = json.Unmarshal(body, &t) // the handler of transactions rejects a malformed body
 	var keys []string
 	for _, w := range t.Writes {
 		keys = append(keys, w.Set+w.Delete)
@@ -152,65 +153,67 @@
 		panic(http.ErrAbortHandler)
 	case Late:
 		s.mu.Lock()
-		s.late = append(s.late, body)
+		s.delayed = append(s.delayed, body)
 		s.mu.Unlock()
 		panic(http.ErrAbortHandler)
 	}
 	return r
 }
 
-func again(body []byte) *http.Request {
+func txnRequest(body []byte) *http.Request {
 	return httptest.NewRequest(http.MethodPost, "/txn", bytes.NewReader(body))
 }
 
-// Deliver carries out the transactions that are late, and returns the statuses that nobody hears.
+// Deliver executes the transactions whose fate was Late, and returns their response statuses, which
+// no client receives.
 func (s *State) Deliver() (statuses []int) {
 	s.mu.Lock()
-	late := s.late
-	s.late = nil
+	delayed := s.delayed
+	s.delayed = nil
 	s.mu.Unlock()
-	for _, body := range late {
+	for _, body := range delayed {
 		w := httptest.NewRecorder()
-		s.mux.ServeHTTP(w, again(body))
+		s.mux.ServeHTTP(w, txnRequest(body))
 		statuses = append(statuses, w.Code)
 	}
 	return statuses
 }
 
-// Refuse begins or ends an outage. After it every hold has its full time.
+// Refuse starts or ends an outage. After the outage every lease has its full TTL.
 func (s *State) Refuse(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.refuse = on
-	for _, h := range s.leases {
-		h.end = time.Now().Add(h.ttl)
+	for _, l := range s.leases {
+		l.expires = time.Now().Add(l.ttl)
 	}
 }
 
-// Slow has answers come up to so much late from now on; 0: at once. Requests are carried out at once.
+// Slow delays each response from now on by a random time of up to by; 0 means no delay. Requests
+// are still executed at once.
 func (s *State) Slow(by time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.slow = by
+	s.maxDelay = by
 }
 
-// Limit bounds values and transactions from now on.
-func (s *State) Limit(value, ops int) {
+// Limit sets the limits of a value's bytes and of a transaction's writes from now on; 0: unlimited.
+func (s *State) Limit(maxValue, maxOps int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.value, s.ops = value, ops
+	s.maxValue, s.maxOps = maxValue, maxOps
 }
 
-// Job is the description of a job that was stored at some time, as its users upload it
-// for the workers; nil if none was.
+// Job returns the description of a job that was stored at some time, or nil if there was none. It
+// stands for the description that users upload for the workers.
 func (s *State) Job(id string) *model.Job {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.jobs[id]
 }
 
-// learn keeps the description in a job's record.
-func (s *State) learn(value json.RawMessage) {
+// recordJob keeps the job description that a stored record contains, if there is one.
+func (s *State) recordJob(value json.RawMessage) {
 	var r struct {
 		Job *model.Job `json:"job"`
 	}
@@ -219,10 +222,10 @@
 	}
 }
 
-// Has tells whether a key is stored.
+// Has reports whether a key is stored.
 func (s *State) Has(key string) bool { return s.Revision(key) != 0 }
 
-// Revision is the revision of a key's last change; 0: it is not stored.
+// Revision returns the revision of a key's last change, or 0 if the key is not stored.
 func (s *State) Revision(key string) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -235,13 +238,13 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// expire ends holds that were not touched, unless there is an outage.
+// expire deletes expired leases and their keys, unless there is an outage.
 func (s *State) expire() {
 	if s.refuse {
 		return
 	}
-	for id, h := range s.leases {
-		if time.Now().After(h.end) {
+	for id, l := range s.leases {
+		if time.Now().After(l.expires) {
 			delete(s.leases, id)
 			for k, e := range s.keys {
 				if e.lease == id {
@@ -272,7 +275,7 @@
 	reply(w, 200, map[string]any{"k": key, "value": e.value, "stamp": e.revision})
 }
 
-// What a page of a listing holds at most.
+// Limits of a page of a listing.
 const (
 	pageItems = 1000
 	pageBytes = 512 << 10
@@ -326,9 +329,9 @@
 			return
 		}
 	}
-	tooLarge := s.ops > 0 && (len(t.Writes) > s.ops || len(t.Guards) > 4*s.ops)
+	tooLarge := s.maxOps > 0 && (len(t.Writes) > s.maxOps || len(t.Guards) > 4*s.maxOps)
 	for _, c := range t.Writes {
-		tooLarge = tooLarge || (s.value > 0 && len(c.Value) > s.value)
+		tooLarge = tooLarge || (s.maxValue > 0 && len(c.Value) > s.maxValue)
 	}
 	if tooLarge {
 		reply(w, 400, map[string]string{"error": "above the limits"})
@@ -351,7 +354,7 @@
 		if c.Set != "" {
 			s.keys[c.Set] = entry{c.Value, s.rev, c.Permit}
 			if strings.HasPrefix(c.Set, "job") {
-				s.learn(c.Value)
+				s.recordJob(c.Value)
 			}
 			s.record(change{Set: c.Set, Value: c.Value, Revision: s.rev})
 		} else {
@@ -382,12 +385,12 @@
 	id, _ := strconv.ParseUint(r.PathValue("id"), 10, 64)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	h := s.leases[id]
-	if h == nil {
+	l := s.leases[id]
+	if l == nil {
 		reply(w, 404, map[string]string{"error": "no such lease"})
 		return
 	}
-	h.end = time.Now().Add(h.ttl)
+	l.expires = time.Now().Add(l.ttl)
 	reply(w, 200, map[string]uint64{"permit": id})
 }
 
@@ -398,22 +401,22 @@
 	end := time.After(time.Duration(block) * time.Millisecond)
 	for {
 		s.mu.Lock()
-		news := []change{}
+		events := []change{}
 		for _, c := range s.log {
 			if c.Revision > after && strings.HasPrefix(c.Set+c.Delete, q.Get("starts")) {
-				news = append(news, c)
+				events = append(events, c)
 			}
 		}
 		rev, changed := s.rev, s.changed
 		s.mu.Unlock()
-		if len(news) > 0 {
-			reply(w, 200, map[string]any{"ledgerRev": rev, "news": news})
+		if len(events) > 0 {
+			reply(w, 200, map[string]any{"ledgerRev": rev, "news": events})
 			return
 		}
 		select {
 		case <-changed:
 		case <-end:
-			reply(w, 200, map[string]any{"ledgerRev": rev, "news": news})
+			reply(w, 200, map[string]any{"ledgerRev": rev, "news": events})
 			return
 		case <-r.Context().Done():
 			return
