--- a/internal/record/block.go
+++ b/internal/record/block.go
@@ -22,8 +22,8 @@
 
 // Bounds of a block, in bytes.
 const (
-	blockSize    = 64 << 10  // frames in a block before compression; a larger one stands alone
-	maxBlockSize = 256 << 20 // of one block, as it is read
+	blockSize    = 64 << 10  // frames in a block before compression; a larger frame has a block of its own
+	maxBlockSize = 256 << 20 // of one block, decompressed
 	maxEntrySize = 64 << 20  // of one block, compressed
 )
 
@@ -33,10 +33,10 @@
 
 const entryHeaderSize = 16
 
-// ErrCorrupt tells that an entry is cut off or damaged.
+// ErrCorrupt is returned for an entry that is truncated or damaged.
 var ErrCorrupt = errors.New("torn block")
 
-// encoder compresses blocks. It is made when it is first used, because most controllers
+// encoder compresses blocks. It is created on first use, because most controllers
 // are not recorded.
 var encoder = sync.OnceValues(func() (*zstd.Encoder, error) {
 	return zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithEncoderLevel(zstd.SpeedFastest),
--- a/internal/record/broadcaster.go
+++ b/internal/record/broadcaster.go
@@ -14,14 +14,14 @@
 // Bounds of a Broadcaster. It holds at most the ring, the block being filled, and for
 // every reader some blocks that the reader has not received yet.
 const (
-	ringLimit     = 1 << 20         // bytes of blocks that a reader which reconnects may still get
+	ringLimit     = 1 << 20         // bytes of blocks kept for readers that reconnect
 	readerBacklog = 32              // blocks that wait for one reader
-	maxReaders    = 4               // at once
+	maxReaders    = 4               // attached at the same time
 	blockAge      = time.Second     // a block is closed after this
-	stateInterval = 2 * time.Second // least time between two states
+	stateInterval = 2 * time.Second // minimum time between two states
 )
 
-// Broadcaster makes blocks of a controller's frames and sends them to readers. Recording a
+// Broadcaster packs a controller's frames into blocks and sends them to readers. Recording a
 // frame never blocks: a reader that is too slow misses blocks, which are counted, and
 // continues with the next state. It is safe for concurrent use.
 type Broadcaster struct {
@@ -52,26 +52,26 @@
 	missed      uint64
 }
 
-// Blocks is the channel of the reader's blocks; it is closed by Detach.
+// Blocks returns the channel of the reader's blocks; it is closed by Detach.
 func (r *Reader) Blocks() <-chan *recordpb.Block { return r.blocks }
 
-// Missed counts the frames that the reader was too slow for.
+// Missed returns the number of frames that the reader did not receive because it was too slow.
 func (r *Reader) Missed() uint64 {
 	r.broadcaster.mu.Lock()
 	defer r.broadcaster.mu.Unlock()
 	return r.missed
 }
 
-// NewBroadcaster makes a Broadcaster without readers.
+// NewBroadcaster returns a Broadcaster without readers.
 func NewBroadcaster(log *slog.Logger) *Broadcaster {
 	return &Broadcaster{log: log, readers: map[*Reader]bool{}, needsState: true, ringLimit: ringLimit}
 }
 
-// ErrReaders tells that a Broadcaster has the most readers that it serves.
+// ErrReaders is returned by Attach when the Broadcaster has the maximum number of readers.
 var ErrReaders = errors.New("too many recorders")
 
-// Attach adds a reader that has some streams up to a frame. If one of them is the
-// current one and the ring still has what follows, the reader continues without a gap.
+// Attach adds a reader. known lists the last frame that the reader has of each stream. If one of them is the
+// current stream and the ring still has what follows, the reader continues without a gap.
 func (b *Broadcaster) Attach(known []*recordpb.Known) (*Reader, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -126,7 +126,7 @@
 	b.ring, b.ringSize = nil, 0
 }
 
-// Wanted counts an event and tells whether to record it, and whether to record a state
+// Wanted counts an event and reports whether to record it, and whether to record a state
 // before it. Events that are not recorded are numbered too, so that they show as a gap.
 func (b *Broadcaster) Wanted() (frames, state bool) {
 	b.mu.Lock()
@@ -149,7 +149,7 @@
 	return true, true
 }
 
-// anyReaderCurrent tells whether any reader has all frames so far.
+// anyReaderCurrent reports whether any reader has all frames so far.
 func (b *Broadcaster) anyReaderCurrent() bool {
 	for r := range b.readers {
 		if !r.needsState {
@@ -184,7 +184,7 @@
 	}
 }
 
-// Tick sets the time and closes a block that is old.
+// Tick sets the time and closes the current block if it is older than blockAge.
 func (b *Broadcaster) Tick(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/record/follow.go
+++ b/internal/record/follow.go
@@ -15,7 +15,7 @@
 	"github.com/marlwood/marlwood/internal/record/recordpb"
 )
 
-// Register makes a server serve a Broadcaster's blocks.
+// Register registers the service that sends a Broadcaster's blocks.
 func Register(registrar grpc.ServiceRegistrar, broadcaster *Broadcaster) {
 	recordpb.RegisterRecorderServer(registrar, &server{broadcaster: broadcaster})
 }
@@ -44,7 +44,7 @@
 	}
 }
 
-// WriteLines starts to write a Broadcaster's blocks as lines, until w fails, and returns.
+// WriteLines starts a goroutine that writes a Broadcaster's blocks as lines until w fails.
 func WriteLines(broadcaster *Broadcaster, w io.Writer) {
 	reader, err := broadcaster.Attach(nil)
 	if err != nil {
@@ -64,8 +64,7 @@
 // reconnectDelay is the pause before a controller that disconnected is contacted again.
 const reconnectDelay = time.Second
 
-// follower serializes what several controllers send: known and take are called by one
-// goroutine alone.
+// follower serializes the blocks of several controllers: only one goroutine calls known and take.
 type follower struct {
 	log   *slog.Logger
 	known func() []*recordpb.Known
@@ -73,7 +72,7 @@
 	work  chan *followRequest
 }
 
-// followRequest asks the goroutine of Follow to take a block, or for what is kept.
+// followRequest asks the goroutine of Follow to take a block, or for the frames already received.
 type followRequest struct {
 	block *recordpb.Block   // nil: asks for known
 	known []*recordpb.Known // the answer
@@ -81,8 +80,8 @@
 }
 
 // Follow receives the blocks of all controllers and passes them to take, one at a time,
-// until ctx ends or take fails. known tells what is kept already. Whichever controller
-// leads sends; if two send during a takeover, their streams differ.
+// until ctx ends or take fails. known returns the frames already received. The leading
+// controller sends blocks; if two send during a takeover, they send different streams.
 func Follow(ctx context.Context, addrs []string, log *slog.Logger, known func() []*recordpb.Known,
 	take func(*recordpb.Block) error) error {
 	ctx, cancel := context.WithCancelCause(ctx)
@@ -103,7 +102,7 @@
 	}
 }
 
-// handle does what a request asks for.
+// handle executes a request.
 func (f *follower) handle(request *followRequest) (err error) {
 	if request.block == nil {
 		request.known = f.known()
@@ -140,7 +139,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		f.log.Warn("a controller is gone, asking again", "addr", addr, "err", err)
+		f.log.Warn("connection to a controller failed, reconnecting", "addr", addr, "err", err)
 		select {
 		case <-ctx.Done():
 		case <-time.After(reconnectDelay):
--- a/internal/record/read.go
+++ b/internal/record/read.go
@@ -15,7 +15,7 @@
 	To     uint64 `json:"to"`
 }
 
-// Contents is a summary of a directory.
+// Contents summarizes the recording in a directory.
 type Contents struct {
 	Streams int           `json:"streams"`
 	Files   int           `json:"files"`
@@ -26,7 +26,7 @@
 	Damaged []DamageError `json:"damaged,omitempty"`
 }
 
-// Complete tells that nothing is missing within the streams.
+// Complete reports whether nothing is missing within the streams.
 func (f *Contents) Complete() bool { return len(f.Gaps) == 0 && len(f.Damaged) == 0 }
 
 // PrintDamage writes a line for each gap and each corrupt file. It ignores errors of w, a
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -25,7 +25,7 @@
 
 var quiet = slog.New(slog.DiscardHandler)
 
-// source records as the scheduler does.
+// source records events the way the scheduler does.
 type source struct {
 	broadcaster *Broadcaster
 	now         time.Time
@@ -74,7 +74,7 @@
 
 const stream = "00000000000000000007-n0-b0"
 
-// written makes a recording of some blocks and returns its directory.
+// written writes a recording of blocks and returns its directory.
 func written(t *testing.T, blocks []*recordpb.Block) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -93,7 +93,7 @@
 	return dir
 }
 
-// numbers reads a recording and returns the moments of its events.
+// numbers reads a recording and returns the AtNs of its events.
 func numbers(t *testing.T, dir string) (out []int64, found *Contents) {
 	t.Helper()
 	found, err := Read(dir, func(_ string, f *recordpb.Frame) error {
@@ -194,7 +194,7 @@
 	all := slices.Concat(c.blocks, c.later) // all of them are sent again
 	c.resume(t, all)
 	if got, found := numbers(t, c.dir); !reflect.DeepEqual(got, upTo(eventCount(all))) || !found.Complete() {
-		t.Fatalf("cut to %d bytes and gone on: %v, %+v", size, got, found)
+		t.Fatalf("cut to %d bytes and continued: %v, %+v", size, got, found)
 	}
 }
 
@@ -215,13 +215,13 @@
 	}
 }
 
-// full is a file on a disk that has space for some more bytes.
-type full struct {
+// limitedFile is a file on a disk that has space for a limited number of bytes.
+type limitedFile struct {
 	*os.File
 	free int
 }
 
-func (f *full) Write(b []byte) (int, error) {
+func (f *limitedFile) Write(b []byte) (int, error) {
 	n, err := f.File.Write(b[:min(len(b), f.free)])
 	f.free -= n
 	if err == nil && n < len(b) {
@@ -237,7 +237,7 @@
 	r := s.attach(t)
 	s.events(60)
 	blocks := drain(r)
-	for room := 0; room < 400; room += 7 {
+	for space := 0; space < 400; space += 7 {
 		dir := t.TempDir()
 		w, err := OpenWriter(dir, 1<<20)
 		if err != nil {
@@ -245,7 +245,7 @@
 		}
 		w.create = func(path string) (segmentWriter, error) {
 			f, err := os.Create(path)
-			return &full{f, room}, err
+			return &limitedFile{f, space}, err
 		}
 		for _, b := range blocks {
 			if err = w.Put(b); err != nil {
@@ -253,7 +253,7 @@
 			}
 		}
 		if !errors.Is(err, syscall.ENOSPC) || !strings.Contains(err.Error(), dir) {
-			t.Fatalf("with room for %d bytes: %v", room, err)
+			t.Fatalf("with space for %d bytes: %v", space, err)
 		}
 		_ = w.Close()
 		if w, err = OpenWriter(dir, 1<<20); err != nil {
@@ -269,12 +269,12 @@
 		}
 		got, found := numbers(t, dir)
 		if len(got) < 40 || !reflect.DeepEqual(got, upTo(int64(len(got)))) || !found.Complete() {
-			t.Fatalf("with room for %d bytes and then more: %v %+v", room, got, found)
+			t.Fatalf("with space for %d bytes and then more: %v %+v", space, got, found)
 		}
 	}
 }
 
-// Files that are not what they should be are refused with a line that says why.
+// Invalid files are refused with an error that says why.
 func TestInvalidFiles(t *testing.T) {
 	s := newSource(stream)
 	r := s.attach(t)
@@ -282,14 +282,14 @@
 	blocks := drain(r)
 	name := func(n int) string { return fmt.Sprintf("%s.%06d.mwr", stream, n) }
 	for _, c := range []struct {
-		name   string
-		change func(dir string) error
-		says   string
+		name     string
+		change   func(dir string) error
+		wantText string
 	}{
-		{"a later form", func(dir string) error {
+		{"a later format version", func(dir string) error {
 			return os.WriteFile(filepath.Join(dir, name(1)), []byte("marlwood recording 2\nxyz"), 0o644)
 		}, `form "2"`},
-		{"something else", func(dir string) error {
+		{"not a recording", func(dir string) error {
 			return os.WriteFile(filepath.Join(dir, name(1)), []byte("once upon a time there was a log"), 0o644)
 		}, "does not begin like one"},
 		{"a segment is missing", func(dir string) error { return os.Rename(filepath.Join(dir, name(1)), filepath.Join(dir, name(3))) }, "segment 1"},
@@ -303,14 +303,14 @@
 		{"another stream's file", func(dir string) error {
 			return os.Rename(filepath.Join(dir, name(1)), filepath.Join(dir, "00000000000000000009-n1-b1.000001.mwr"))
 		}, "blocks of stream " + stream},
-		{"nothing", func(dir string) error { return os.Remove(filepath.Join(dir, name(1))) }, "no files"},
+		{"an empty directory", func(dir string) error { return os.Remove(filepath.Join(dir, name(1))) }, "no files"},
 	} {
 		dir := written(t, blocks)
 		if err := c.change(dir); err != nil {
 			t.Fatal(err)
 		}
 		_, err := Read(dir, func(string, *recordpb.Frame) error { return nil })
-		if !errors.Is(err, ErrFormat) || !strings.Contains(err.Error(), c.says) {
+		if !errors.Is(err, ErrFormat) || !strings.Contains(err.Error(), c.wantText) {
 			t.Errorf("%s: %v", c.name, err)
 		}
 	}
@@ -323,7 +323,7 @@
 		t.Errorf("two recorders write to one directory: %v", err)
 	}
 	if err := first.Put(&recordpb.Block{Stream: "../x", First: 1, Frames: 1}); err == nil {
-		t.Error("a stream's name leads out of the directory")
+		t.Error("a stream name that points outside the directory is accepted")
 	}
 	_ = first.Close()
 }
@@ -357,9 +357,9 @@
 // recorded.
 func TestSlowReader(t *testing.T) {
 	s := newSource(stream)
-	s.events(500) // nobody records
+	s.events(500) // no reader is attached
 	r := s.attach(t)
-	s.events(10_000) // it takes nothing
+	s.events(10_000) // the reader receives nothing
 	if len(r.Blocks()) != readerBacklog || r.Missed() < 1000 {
 		t.Errorf("%d blocks wait, %d frames missed", len(r.Blocks()), r.Missed())
 	}
@@ -385,7 +385,7 @@
 		s.attach(t)
 	}
 	if _, err := s.broadcaster.Attach(nil); !errors.Is(err, ErrReaders) {
-		t.Errorf("one reader too many: %v", err)
+		t.Errorf("attaching more than the maximum number of readers: %v", err)
 	}
 }
 
@@ -394,14 +394,14 @@
 func TestResume(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		away  int // events meanwhile, while another one records
+		away  int // events while the recorder is disconnected
 		other bool
 		gaps  int
 	}{
-		{"at once, alone", 0, false, 0},
+		{"at once, as the only reader", 0, false, 0},
 		{"soon", 50, true, 0},
 		{"late", 1000, true, 1},
-		{"soon, but nobody recorded", 50, false, 1},
+		{"soon, but no reader was attached meanwhile", 50, false, 1},
 	} {
 		s := newSource(stream)
 		s.broadcaster.ringLimit = 2000
@@ -462,7 +462,7 @@
 	go func() { _ = c.server.Serve(l) }()
 }
 
-// followed tells whether a recorder is connected.
+// followed reports whether a recorder is connected.
 func (c *recordedController) followed() bool {
 	c.source.broadcaster.mu.Lock()
 	defer c.source.broadcaster.mu.Unlock()
@@ -507,8 +507,8 @@
 	return done
 }
 
-// Over the network: a recorder follows three controllers, of which two lead in turn,
-// for a while both, and one goes away and comes back.
+// A recorder follows three controllers over the network. Two of them lead in turn, for a while both
+// at the same time, and one restarts. The recording has both streams without a gap.
 func TestFollow(t *testing.T) {
 	var controllers []*recordedController
 	var addrs []string
@@ -531,7 +531,7 @@
 	}
 	first, second := controllers[0], controllers[1]
 	first.source.events(60)
-	second.source.events(60) // the first does not know yet that it was deposed
+	second.source.events(60) // the first does not know yet that it is no longer the leader
 	first.source.events(30)
 	second.source.events(30)
 	recorder.until(t, "two leaders", func() bool { return w.Frames >= 2*80 })
@@ -571,7 +571,7 @@
 	}
 }
 
-// Blocks survive a log that puts lines together, and broken ones are counted.
+// Blocks are read back from a log that joins lines, and broken ones are counted.
 func TestLines(t *testing.T) {
 	s := newSource(stream)
 	r := s.attach(t)
@@ -597,7 +597,7 @@
 		broken bool
 	}{
 		{"as it was", log.String(), 0, false},
-		{"lines in one", strings.ReplaceAll(log.String(), "\n", " "), 0, false},
+		{"lines joined", strings.ReplaceAll(log.String(), "\n", " "), 0, false},
 		{"the end is missing", log.String()[:log.Len()-50], 1, true},
 		{"a piece is missing", strings.Replace(log.String(), " 2 6 ", " x 6 ", 1), 1, true},
 		{"a changed letter", strings.Replace(log.String(), "TVdC", "TVdD", 1), 1, true},
--- a/internal/record/segments.go
+++ b/internal/record/segments.go
@@ -25,10 +25,10 @@
 // FormatVersion is the version of the format that is written, and the latest that is read.
 const FormatVersion = 1
 
-// fileNamePattern is a file's name: the stream and the number of the segment.
+// fileNamePattern matches a file's name: the stream and the number of the segment.
 var fileNamePattern = regexp.MustCompile(`^([0-9]{20}-[A-Za-z0-9._-]+)\.([0-9]{6})\.mwr$`)
 
-// StreamName names the stream of a leader's term. Names sort by fencing token; characters
+// StreamName returns the name of the stream of a leader's term. Names sort by fencing token; characters
 // that are not safe in a file's name are replaced.
 func StreamName(token uint64, member, boot string) string {
 	return fmt.Sprintf("%020d-%s-%s", token, unsafeCharacters.ReplaceAllString(member, "_"), unsafeCharacters.ReplaceAllString(boot, "_"))
@@ -37,7 +37,7 @@
 // unsafeCharacters are those that StreamName replaces.
 var unsafeCharacters = regexp.MustCompile(`[^A-Za-z0-9._-]`)
 
-// ErrFormat tells that a file or directory is not a recording that this version reads.
+// ErrFormat is returned for a file or directory that is not a recording that this version reads.
 var ErrFormat = errors.New("not a recording that this program reads")
 
 // Segment is one file of a stream.
@@ -69,7 +69,7 @@
 	return out, nil
 }
 
-// DamageError is the place from which on a file is unreadable.
+// DamageError reports the offset from which a file is unreadable.
 type DamageError struct {
 	Path   string
 	Offset int64 // all blocks before it are readable
@@ -122,7 +122,7 @@
 	}
 }
 
-// checkHeader reads the header of a file and tells why the file can't be read.
+// checkHeader reads the header of a file and returns an error if the file can't be read.
 func checkHeader(file io.Reader, path string) error {
 	header := make([]byte, len(fileHeader))
 	switch size, err := io.ReadFull(file, header); {
--- a/internal/record/writer.go
+++ b/internal/record/writer.go
@@ -46,8 +46,8 @@
 	Truncated    []DamageError // where files were truncated when the directory was opened
 }
 
-// OpenWriter opens a directory, which it makes if it is missing. A file whose end a crash
-// left corrupt is truncated; Truncated tells where.
+// OpenWriter opens a directory, which it creates if it is missing. A file whose end a crash
+// left corrupt is truncated; Truncated lists where.
 func OpenWriter(dir string, segmentLimit int64) (*Writer, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, fmt.Errorf("recording: %w", err)
@@ -147,7 +147,7 @@
 // maxKnownStreams bounds the result of Known; older streams have ended.
 const maxKnownStreams = 32
 
-// Known returns the last written frame of the newest streams.
+// Known returns the last written frame of each of the newest streams.
 func (w *Writer) Known() []*recordpb.Known {
 	names := slices.Sorted(maps.Keys(w.last))
 	var out []*recordpb.Known
@@ -157,7 +157,7 @@
 	return out
 }
 
-// Put writes a block unless it is written already.
+// Put writes a block unless it has been written already.
 //
 // Guard: a full disk leaves part of a block. The file is truncated to the blocks before it,
 // so that a later recorder can append.
@@ -209,7 +209,7 @@
 	return segment, nil
 }
 
-// append writes an entry, or restores the file as it was.
+// append writes an entry, or restores the file's previous size if that fails.
 func (s *openSegment) append(entry []byte) error {
 	if n, err := s.file.Write(entry); err != nil || n < len(entry) {
 		_, seekErr := s.file.Seek(s.size, io.SeekStart)
