--- a/internal/replay/day.go
+++ b/internal/replay/day.go
@@ -17,8 +17,8 @@
 	"github.com/marlwood/marlwood/internal/scheduler"
 )
 
-// Day is what frames tell of jobs, tasks and machines. Moments count from its
-// beginning; -1 is a moment that never came.
+// Day is the history of jobs, tasks and machines as reconstructed from frames. Times are relative
+// to Begin; -1 means that the event did not happen.
 type Day struct {
 	Begin    time.Time
 	End      time.Duration
@@ -33,36 +33,36 @@
 	tasks          map[attemptKey]*TaskSeen
 	finishedJobs   map[string]bool             // jobs whose final record was written by a leader
 	moved          map[string]bool             // waiting jobs that a leader released or cancelled
-	launchRequests map[string]*recordpb.Rental // launchRequests that were sent
-	sent           map[string]time.Duration    // when
-	have           map[string]map[string]bool  // by machine: images that were seen ready
+	launchRequests map[string]*recordpb.Rental // launch requests that were sent
+	sent           map[string]time.Duration    // when each launch request was sent
+	have           map[string]map[string]bool  // by machine: images that a task was seen to have fetched
 }
 
-// JobSeen is a job.
+// JobSeen is a job as observed in the frames.
 type JobSeen struct {
 	Spec       *model.Job
 	Key        string // of its first record
 	Record     json.RawMessage
 	Submitted  time.Duration
 	FirstStart time.Duration // of a task
-	Started    time.Duration // all tasks have run
+	Started    time.Duration // when all tasks had run
 	Done       time.Duration
 	Cancelled  time.Duration // by its user
 	ran        map[int]bool
-	finished   int // tasks, when it was first seen
+	finished   int // finished tasks when the job was first seen
 }
 
-// MachineSeen is a machine.
+// MachineSeen is a machine as observed in the frames.
 type MachineSeen struct {
 	Name       string
 	Pool       model.Pool
 	Spot       bool
 	Rented     time.Duration
-	Up         time.Duration // first heard of
-	EndedAt    time.Duration // returned, or its lease believed to be over
-	Unexpected bool          // not returned: taken, or it died
-	Notice     time.Duration // when a notice was first heard of
-	Lead       time.Duration // how long before the end
+	Up         time.Duration // first seen in a state or report
+	EndedAt    time.Duration // returned, or when the controller considered its lease expired
+	Unexpected bool          // not returned: preempted, or it died
+	Notice     time.Duration // when a preemption notice was first reported
+	Lead       time.Duration // time from the notice to the announced end
 }
 
 type attemptKey struct {
@@ -78,22 +78,22 @@
 	Attempt  uint64
 	Machine  string
 	Ordered  time.Duration
-	Fetching time.Duration // first reported
-	Ready    time.Duration // past fetching
+	Fetching time.Duration // first reported as fetching
+	Ready    time.Duration // first reported in a state after fetching
 	Running  time.Duration
 	Ended    time.Duration
 	Cause    model.Cause
 	Saved    bool
-	Fetched  bool // it was the first of its image there
+	Fetched  bool // it was the first task on the machine to use its image
 }
 
-// RentalSeen is a request's outcome.
+// RentalSeen is the outcome of a launch request.
 type RentalSeen struct {
 	At        time.Duration
 	Source    autoscaler.Market
 	Requested int
 	Got       int
-	Held      int // machines of that source afterwards
+	Held      int // machines of that market afterwards
 }
 
 func newDay() *Day {
@@ -117,12 +117,12 @@
 	return d, found, nil
 }
 
-// observer feeds the frames of one stream after the other into a day.
+// observer adds the frames of one stream after another to a Day.
 type observer struct {
-	origin time.Time // of the stream's moments
+	origin time.Time // start of the stream, to which its times are relative
 }
 
-// frame adds what one frame tells to the day.
+// frame adds one frame to the day.
 func (o *observer) frame(d *Day, f *recordpb.Frame) error {
 	if s := f.GetState(); s != nil {
 		return o.state(d, s)
@@ -163,7 +163,7 @@
 	return nil
 }
 
-// job adds a job that has a record; the first record counts.
+// job adds a job from its record. Later records of the same job are ignored.
 func (d *Day) job(key string, r placement.JobRecord) {
 	if d.Jobs.At(r.Job.ID) != nil {
 		return
@@ -171,7 +171,7 @@
 	j := &JobSeen{Spec: r.Job, Key: key, Submitted: time.UnixMilli(r.AcceptedMS).Sub(d.Begin), FirstStart: -1, Started: -1, Done: -1,
 		Cancelled: -1, ran: map[int]bool{}, finished: r.Count}
 	j.Record, _ = json.Marshal(r)
-	if j.Submitted < 0 { // it was open when the recording began
+	if j.Submitted < 0 { // it was submitted before the recording began
 		j.Submitted = 0
 	}
 	d.Jobs.Put(r.Job.ID, j)
@@ -222,7 +222,7 @@
 	}
 }
 
-// record adds the job of a stored record, if it is one.
+// record adds the job of a stored record, if the record is a job's.
 func (d *Day) record(it *recordpb.Item) {
 	var r placement.JobRecord
 	if json.Unmarshal(it.Value, &r) == nil && r.Job != nil {
@@ -252,7 +252,7 @@
 	}
 }
 
-// report takes in what an owner says of a machine.
+// report adds the state of a machine that its owner reported.
 func (d *Day) report(at time.Duration, pm *peerspb.Machine) {
 	if pm.Phase == "expired" {
 		return
@@ -316,7 +316,7 @@
 	d.Rentals = append(d.Rentals, RentalSeen{At: at, Source: src, Requested: int(asked.Count), Got: len(r.Names), Held: d.held(src)})
 }
 
-// held counts the machines of a source that there are.
+// held returns the number of machines of a market that have not ended.
 func (d *Day) held(src autoscaler.Market) (n int) {
 	for _, m := range d.Machines.All() {
 		if m.Pool == src.Pool && m.Spot == src.Spot && m.EndedAt < 0 {
@@ -326,7 +326,7 @@
 	return n
 }
 
-// decided takes in what an event led to.
+// decided adds the decisions that an event led to.
 func (d *Day) decided(at time.Duration, x *recordpb.Decided) {
 	for _, o := range x.GetOrders() {
 		if o.Op != peerspb.Op_OP_START {
@@ -358,13 +358,13 @@
 		}
 	}
 	for _, m := range x.GetMoves() {
-		if m.Op != 0 { // a look changes nothing
+		if m.Op != 0 { // a read changes nothing
 			d.moved[m.Job] = true
 		}
 	}
 }
 
-// until is when a machine that has not gone counts as paid for.
+// until returns when the machine ended, or end if it has not ended.
 func (m *MachineSeen) until(end time.Duration) time.Duration {
 	if m.EndedAt >= 0 {
 		return m.EndedAt
@@ -372,7 +372,7 @@
 	return end
 }
 
-// from is when a machine is paid for first.
+// from returns the time from which the machine is paid for.
 func (m *MachineSeen) from() time.Duration {
 	if m.Rented >= 0 {
 		return m.Rented
@@ -380,7 +380,7 @@
 	return max(m.Up, 0)
 }
 
-// Price is what the machines cost, of which a minute is charged at least.
+// Price returns the cost of the machines. Each is charged for at least a minute.
 func (d *Day) Price() float64 {
 	sum := 0.0
 	for _, m := range d.Machines.All() {
@@ -394,7 +394,7 @@
 	return sum
 }
 
-// inOrder lists the jobs that were started, by the first start of a task.
+// inOrder returns the jobs that were started, ordered by the first start of a task.
 func (d *Day) inOrder() []*JobSeen {
 	var out []*JobSeen
 	for _, j := range d.Jobs.All() {
--- a/internal/replay/environment.go
+++ b/internal/replay/environment.go
@@ -21,7 +21,8 @@
 	"github.com/marlwood/marlwood/internal/store"
 )
 
-// environment is a day played again: one controller, the real one, among models of the rest.
+// environment simulates a day: the real controller code runs against models of the store, the cloud
+// and the machines. It implements controller.Environment and scheduler.Recorder.
 type environment struct {
 	sim            *simulation.Sim
 	process        *simulation.Process
@@ -29,32 +30,32 @@
 	node           *controller.Controller
 	cfg            *settings.Platform
 	types          map[string]model.MachineType
-	day            *Day // that was recorded
+	day            *Day // the recorded day
 	supply         *Supply
 	recorded       bool // machines come and go as recorded
 	jobs           map[string]*simJob
-	machines       []*machine // in order of their names
+	machines       []*machine // in the order in which they were added
 	byName         map[string]*machine
 	launchRequests map[string][]string
 
-	seen *Day // what happens
+	seen *Day // what happens in the simulation
 	tap  observer
 	made uint64
 }
 
-// lead is how long the controller runs before the day begins, until it leads.
-const lead = 10 * time.Second
+// warmUp is how long the controller runs before the day begins, so that it is the leader by then.
+const warmUp = 10 * time.Second
 
-// Rules are what a day is played under.
+// Rules are the settings, machine types and capacities under which a day is simulated.
 type Rules struct {
 	Platform *settings.Platform
 	Operator *settings.Operator
 	Types    map[string]model.MachineType
-	Most     map[autoscaler.Market]int // what the cloud has, where that is not as recorded
+	Most     map[autoscaler.Market]int // capacity of the cloud, where it differs from the recording
 	Recorded bool                      // machines come and go as recorded
 }
 
-// rulesOf are the recorded ones.
+// rulesOf returns the rules of the recorded day.
 func rulesOf(d *Day) (Rules, error) {
 	s := d.Config.Settings
 	if s.Platform == nil || s.Operator == nil {
@@ -63,7 +64,7 @@
 	return Rules{Platform: s.Platform, Operator: s.Operator, Types: d.Types}, nil
 }
 
-// play plays a recorded day's submissions under rules and returns what happened.
+// play simulates a recorded day's submissions under the rules and returns what happened.
 func play(d *Day, supply *Supply, r Rules, seed uint64) (*Day, error) {
 	platform, operator := *r.Platform, *r.Operator
 	platform.Siblings, platform.StateAddr, platform.CloudAddr = nil, "127.0.0.1:1", "127.0.0.1:1"
@@ -88,10 +89,10 @@
 	}
 	for _, m := range d.Machines.All() {
 		if r.Recorded || m.Rented < 0 && m.Up >= 0 && m.Up < time.Second { // there from the beginning
-			w.bring(m)
+			w.scheduleRecorded(m)
 		}
 	}
-	end := lead + d.End
+	end := warmUp + d.End
 	for s.Pending() > 0 && s.Now() < end {
 		s.Step()
 	}
@@ -102,7 +103,7 @@
 	return w.seen, nil
 }
 
-// newEnvironment is a world without a controller.
+// newEnvironment returns an environment without a controller.
 func newEnvironment(d *Day, supply *Supply, r Rules, seed uint64) *environment {
 	s := simulation.New(seed)
 	return &environment{sim: s, process: s.NewProcess("controller"), store: simulation.NewStore(s, r.Platform.TxnOps), cfg: r.Platform, types: r.Types,
@@ -110,7 +111,7 @@
 		launchRequests: map[string][]string{}, seen: newDay()}
 }
 
-// with changes what the cloud has.
+// with returns a Supply in which the capacity of the given markets is replaced.
 func (s *Supply) with(most map[autoscaler.Market]int) *Supply {
 	if len(most) == 0 {
 		return s
@@ -126,7 +127,7 @@
 	return &out
 }
 
-// tick is how often a controller looks at what is due, as in the live world.
+// tick is the interval at which the controller handles its timers, as in production.
 const tick = 50 * time.Millisecond
 
 func (w *environment) tickWorkers() {
@@ -136,11 +137,11 @@
 	})
 }
 
-// at is a moment of the recorded day.
-func at(t time.Duration) time.Duration { return lead + t }
+// at converts a time of the recorded day to simulated time.
+func at(t time.Duration) time.Duration { return warmUp + t }
 
-// submit has a job's record written when it was submitted, and removed when its user
-// cancelled it.
+// submit schedules the write of a job's record at its submission, and its removal when its user
+// cancelled the job.
 func (w *environment) submit(seen *JobSeen) {
 	j := &simJob{spec: seen.Spec, seen: seen, takes: map[int]time.Duration{}, progress: map[int]time.Duration{}, done: map[int]bool{},
 		running: map[uint64][]*attempt{}}
@@ -162,7 +163,7 @@
 	})
 }
 
-// takes is how long a task runs: as it did, or as others of its class.
+// takes returns the run time of a task: the recorded one, or one drawn from its class.
 func (w *environment) takes(j *simJob, index int) time.Duration {
 	if d, ok := j.takes[index]; ok {
 		return d
@@ -177,7 +178,7 @@
 	return duration
 }
 
-// add makes a machine.
+// add creates a machine that has not booted.
 func (w *environment) add(name string, pool model.Pool, spot bool) *machine {
 	m := &machine{w: w, name: name, pool: pool, spot: spot, rented: w.sim.Now(), notice: -1, leaving: -1, due: -1,
 		speed: w.supply.Fetches[pool.Type].draw(w.sim.Rand, w.types[pool.Type].FetchGBPerS)}
@@ -186,12 +187,12 @@
 	return m
 }
 
-// bring has a machine come and go as recorded.
-func (w *environment) bring(seen *MachineSeen) {
+// scheduleRecorded schedules the start of a machine as recorded and, with recorded machines, its end.
+func (w *environment) scheduleRecorded(seen *MachineSeen) {
 	if seen.Up < 0 {
 		return
 	}
-	w.sim.At(at(max(seen.from(), -lead/2)), func() { w.add(seen.Name, seen.Pool, seen.Spot) })
+	w.sim.At(at(max(seen.from(), -warmUp/2)), func() { w.add(seen.Name, seen.Pool, seen.Spot) })
 	w.sim.At(at(seen.Up), func() { w.byName[seen.Name].begin() })
 	if seen.EndedAt < 0 || !w.recorded {
 		return
@@ -200,7 +201,7 @@
 	case seen.Notice >= 0:
 		w.sim.At(at(seen.Notice), func() { w.byName[seen.Name].recall(seen.Lead) })
 	case seen.Unexpected:
-		// Its lease was believed to be over that much later.
+		// The controller considered it lost only when its lease had expired, that much later.
 		w.sim.At(at(max(seen.Up, seen.EndedAt-w.cfg.Lease)), func() { w.byName[seen.Name].end() })
 	default: // it was idle for a while before it was returned
 		idle := min(seen.EndedAt-seen.Up, w.day.Config.Settings.Operator.Fleet.Idle)
@@ -208,14 +209,14 @@
 	}
 }
 
-// recall announces that a machine will be taken, and takes it.
+// recall announces that the machine is preempted after a time, and ends it then.
 func (m *machine) recall(in time.Duration) {
 	m.notice = m.w.sim.Now() + in
 	m.changed()
 	m.w.sim.After(in, m.end)
 }
 
-// rent makes machines as far as the cloud has them.
+// rent creates the requested machines, up to the capacity of the cloud.
 func (w *environment) rent(c autoscaler.LaunchRequest) (autoscaler.Result, []string) {
 	if names, ok := w.launchRequests[c.Name]; ok {
 		return autoscaler.Granted, names
@@ -230,7 +231,7 @@
 		}
 	}
 	n := c.Count
-	if most, known := w.supply.most(src, w.sim.Now()-lead); known && most >= 0 {
+	if most, known := w.supply.most(src, w.sim.Now()-warmUp); known && most >= 0 {
 		n = min(n, most-held)
 	}
 	if n <= 0 {
@@ -241,14 +242,14 @@
 		w.made++
 		m := w.add(fmt.Sprintf("sim-%06d", w.made), c.Pool, c.Spot)
 		names = append(names, m.name)
-		w.born(m)
+		w.scheduleLifecycle(m)
 	}
 	w.launchRequests[c.Name] = names
 	return autoscaler.Granted, names
 }
 
-// born draws a rented machine's fate.
-func (w *environment) born(m *machine) {
+// scheduleLifecycle draws when a rented machine boots, if it does, and when it is preempted or dies.
+func (w *environment) scheduleLifecycle(m *machine) {
 	s, r := w.supply, w.sim.Rand
 	if s.Rented > 0 && r.Float64() < float64(s.Dead)/float64(s.Rented) {
 		m.dead = true
@@ -270,22 +271,22 @@
 	}
 }
 
-// lifetime turns a draw from 0 to 1 into a time until something happens that happens
-// so often an hour.
+// lifetime converts a uniform draw from [0, 1) to an exponentially distributed time with the given
+// rate per hour.
 func lifetime(draw, rate float64) time.Duration {
 	hours := -math.Log(1-draw) / rate
 	return time.Duration(min(hours, 1e5) * float64(time.Hour))
 }
 
-// What follows is controller.Environment.
+// The methods below implement controller.Environment.
 
-// Now is the controller's clock, which is the time of day as well.
-func (w *environment) Now() time.Time { return w.day.Begin.Add(w.sim.Now() - lead) }
+// Now returns the simulated time of the controller's clock.
+func (w *environment) Now() time.Time { return w.day.Begin.Add(w.sim.Now() - warmUp) }
 
-// WallClock is the time of day, by the same clock.
+// WallClock returns the same time as Now.
 func (w *environment) WallClock() time.Time { return w.Now() }
 
-// Random draws from the seeded random numbers.
+// Random returns a number of the seeded generator.
 func (w *environment) Random() uint64 { return w.sim.Rand.Uint64() }
 
 // Post runs a function between two events of the loop.
@@ -294,13 +295,13 @@
 // Go starts a fiber of the simulated process.
 func (w *environment) Go(f func()) { w.process.Spawn(f) }
 
-// NewLatch makes a latch of simulated time.
+// NewLatch returns a latch of the simulated process.
 func (w *environment) NewLatch() api.Latch { return w.process.NewLatch() }
 
-// Store is the simulated key-value store.
+// Store returns the simulated key-value store.
 func (w *environment) Store() controller.Store { return storeOf{w} }
 
-// Cloud is the simulated cloud.
+// Cloud returns the simulated cloud.
 func (w *environment) Cloud() controller.Cloud { return cloudOf{w} }
 
 // Sleep pauses the process in simulated time.
@@ -318,22 +319,22 @@
 
 // SendCommands delivers commands to a worker and returns its answer.
 func (w *environment) SendCommands(_ context.Context, addr string, o model.DirectCommands) (int, *model.Heartbeat, error) {
-	w.process.Sleep(message)
+	w.process.Sleep(messageDelay)
 	m := w.byName[addr]
 	if m == nil || m.terminated || !m.up {
 		return 0, nil, httpwire.ErrNotSent
 	}
 	status, r := m.orders(o)
-	w.process.Sleep(message)
+	w.process.Sleep(messageDelay)
 	return status, r, nil
 }
 
-// Tap: what is decided is seen like a recording.
+// The methods below implement scheduler.Recorder: decisions are observed like those of a recording.
 
 // Begin starts a stream of decisions.
 func (w *environment) Begin(string) { w.seen.Terms = 0 }
 
-// Wanted tells whether an event and a state are recorded.
+// Wanted reports whether to record an event, and whether to record a state before it.
 func (w *environment) Wanted() (bool, bool) { return true, w.seen.Terms == 0 }
 
 // Record receives a recorded frame.
@@ -342,7 +343,7 @@
 		w.seen.Terms, w.seen.Begin, w.seen.Types, w.tap.origin = 1, w.day.Begin, w.types, time.Unix(0, s.OriginUnixNs)
 		return
 	}
-	_ = w.tap.frame(w.seen, f) // only a state can be wrong
+	_ = w.tap.frame(w.seen, f) // only a state can return an error
 }
 
 // storeOf is the controller's client of the state service.
@@ -350,20 +351,20 @@
 
 // Get reads a key.
 func (c storeOf) Get(_ context.Context, key string) (store.Item, error) {
-	c.w.process.Sleep(message)
+	c.w.process.Sleep(messageDelay)
 	return c.w.store.Get(key)
 }
 
 // List lists the keys with a prefix.
 func (c storeOf) List(_ context.Context, prefix string) ([]store.Item, uint64, error) {
-	c.w.process.Sleep(message)
+	c.w.process.Sleep(messageDelay)
 	items, rev := c.w.store.List(prefix)
 	return items, rev, nil
 }
 
 // Commit executes a transaction.
 func (c storeOf) Commit(_ context.Context, t store.Txn) (store.TxnResult, error) {
-	c.w.process.Sleep(message)
+	c.w.process.Sleep(messageDelay)
 	return c.w.store.Txn(t)
 }
 
@@ -372,26 +373,26 @@
 	c.w.process.Await(func(wake func()) {
 		c.w.store.Watch("", prefix, after, wait, func(e []store.Event, r uint64) {
 			events, rev = e, r
-			c.w.sim.After(message, wake)
+			c.w.sim.After(messageDelay, wake)
 		})
 	})
 	store.SortByRevision(events)
 	return events, max(after, rev), nil
 }
 
-// GrantLease makes a lease.
+// GrantLease creates a lease.
 func (c storeOf) GrantLease(_ context.Context, ttl time.Duration) (uint64, error) {
-	c.w.process.Sleep(message)
+	c.w.process.Sleep(messageDelay)
 	return c.w.store.GrantLease(ttl), nil
 }
 
 // KeepAlive renews a lease.
 func (c storeOf) KeepAlive(_ context.Context, id uint64) error {
-	c.w.process.Sleep(message)
+	c.w.process.Sleep(messageDelay)
 	return c.w.store.KeepAlive(id)
 }
 
-// SetBudgets changes nothing: the model has no rates.
+// SetBudgets does nothing: the model has no rate limits.
 func (c storeOf) SetBudgets(store.Budgets) {}
 
 // cloudOf is the controller's client of the cloud.
@@ -428,7 +429,7 @@
 		if m == nil {
 			continue
 		}
-		if c.w.recorded && !m.terminated { // it goes when the recording says so
+		if c.w.recorded && !m.terminated { // it ends when it did in the recording
 			return errors.New("not yet")
 		}
 		m.end()
--- a/internal/replay/figures.go
+++ b/internal/replay/figures.go
@@ -12,19 +12,19 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// Group is some jobs: those of a class, or of a team.
+// Group identifies the jobs of a class or of a team.
 type Group struct {
 	What string `json:"what"` // "class" or "team"
 	Name string `json:"name"`
 }
 
-// Figures are what a day meant for a group. Times are seconds; NaN is written as null.
+// Figures are the statistics of a group's jobs on one day. Times are in seconds; NaN is written as null.
 type Figures struct {
 	Jobs      int `json:"jobs"`
-	Started   int `json:"started"` // all of their tasks
+	Started   int `json:"started"` // jobs of which all tasks have started
 	Done      int `json:"done"`
 	Cancelled int `json:"cancelled"`
-	// From the submission until all tasks have started, and until the job is done.
+	// Percentiles of the time from the submission until all tasks have started, and until the job is done.
 	WaitP50, WaitP90, DoneP50, DoneP90 float64
 
 	wait, done *hdrhistogram.Histogram
@@ -36,7 +36,7 @@
 	digits = 3
 )
 
-// figures works out what a day meant, by class and by team.
+// figures computes the statistics of a day by class and by team.
 func figures(d *Day) map[Group]*Figures {
 	out := map[Group]*Figures{}
 	for _, j := range d.Jobs.All() {
@@ -74,7 +74,7 @@
 	return float64(h.ValueAtQuantile(q)) / 1000
 }
 
-// groups lists them in order, classes first.
+// groups returns the groups in order, classes first.
 func groups(all map[Group]*Figures) []Group {
 	var out []Group
 	for g := range all {
@@ -84,14 +84,14 @@
 	return out
 }
 
-// Spread is a figure over several seeds.
+// Spread is the mean and range of a figure over several seeds.
 type Spread struct {
 	Mean float64 `json:"mean"`
 	Min  float64 `json:"min"`
 	Max  float64 `json:"max"`
 }
 
-// spread is over the days for which there is a figure.
+// spread returns the Spread of the values that are not NaN.
 func spread(all []float64) Spread {
 	s, n := Spread{Min: math.Inf(1), Max: math.Inf(-1)}, 0
 	for _, v := range all {
@@ -109,22 +109,22 @@
 	return s
 }
 
-// within tells that a difference may be chance: the spreads meet.
+// within reports whether the two ranges overlap, so that the difference may be chance.
 func (s Spread) within(o Spread) bool { return s.Min <= o.Max && o.Min <= s.Max }
 
-// Order is how alike two days started their jobs.
+// Order measures how similar the start order of the jobs is on two days.
 type Order struct {
 	Jobs int // started on both
-	// Pairs of jobs of which one started clearly earlier, by more than a second, in the
-	// recording; and how many of these pairs started in the other order.
+	// Pairs counts the pairs of jobs of which one started more than a second earlier in the
+	// recording; Turned counts how many of these started in the opposite order.
 	Pairs, Turned int
-	Worst         time.Duration // the largest such lead that was lost
-	Off           Sample        // seconds by which a job's first start differs
+	Worst         time.Duration // longest time between the recorded starts of a reversed pair
+	Off           Sample        // differences between the first starts of a job, in seconds
 }
 
-// clearly is how much earlier a start must be to count as earlier: rounds and reports
-// are up to that far apart.
-const clearly = time.Second
+// startTolerance is how much earlier a start must be to count as earlier, because rounds and
+// reports are up to that far apart.
+const startTolerance = time.Second
 
 // orderOf compares the order in which two days first started a task of each job.
 func orderOf(x, y *Day) Order {
@@ -140,7 +140,7 @@
 	o.Jobs = len(both)
 	for i, p := range both {
 		for _, q := range both[i+1:] {
-			if q.a-p.a <= clearly {
+			if q.a-p.a <= startTolerance {
 				continue
 			}
 			o.Pairs++
@@ -153,14 +153,14 @@
 	return o
 }
 
-// usage is one moment of a day.
+// usage is the CPU usage and the cost at one time of a day.
 type usage struct {
 	at       time.Duration
 	up, used float64 // CPUs
 	cost     float64 // so far
 }
 
-// usages lays a day out in steps.
+// usages samples a day at a fixed interval.
 func usages(d *Day, every time.Duration) []usage {
 	n := int(d.End/every) + 1
 	out := make([]usage, n)
@@ -201,7 +201,7 @@
 	return out
 }
 
-// placeOf is where a gang first ran as a whole: so many of each kind of machine.
+// placeOf returns how many tasks ran in each pool when the gang first ran as a whole.
 func placeOf(d *Day, id string) map[model.Pool]int {
 	j := d.Jobs.At(id)
 	if j == nil || j.Started < 0 {
--- a/internal/replay/machine.go
+++ b/internal/replay/machine.go
@@ -8,15 +8,15 @@
 	"github.com/marlwood/marlwood/internal/workers"
 )
 
-// Times of the protocol that a recording does not show.
+// Times that a recording does not show.
 const (
-	gangPeer    = 2 * time.Second // within which a gang notices that a task is gone
-	gangWait    = time.Minute     // how long a gang's task waits for the others, if that was never seen
-	leastReport = 500 * time.Millisecond
-	message     = 5 * time.Millisecond
+	gangPeerDelay     = 2 * time.Second // within which the other tasks of a gang notice that one has exited
+	defaultGangWait   = time.Minute     // how long a gang's task waits for the others, if that was never observed
+	minReportInterval = 500 * time.Millisecond
+	messageDelay      = 5 * time.Millisecond
 )
 
-// machine is a rented machine and its worker, as the protocol has them.
+// machine simulates a rented machine and its worker.
 type machine struct {
 	w              *environment
 	name           string
@@ -25,43 +25,43 @@
 	rented         time.Duration
 	up, terminated bool
 	dead           bool          // never comes up
-	leaving        time.Duration // when it goes, if it has no tasks then; -1: it stays
+	leaving        time.Duration // when it is removed, if it has no tasks by then; -1: not removed
 	failed         bool          // the cloud lists it as failed
-	notice         time.Duration // moment of the end that was announced; -1: none
+	notice         time.Duration // announced time of its preemption; -1: none
 
-	seq, token uint64
-	tasks      []*attempt
-	cache      []*fetch // images, the last used one last
-	fetches    []*fetch
-	fetchedAt  time.Duration // up to when they are worked out
-	fetchTurn  int
-	speed      float64 // GB a second
-	sending    bool
-	reported   time.Duration
-	due        time.Duration // of the next report
+	seq, token   uint64
+	tasks        []*attempt
+	cache        []*fetch // images, the most recently used one last
+	fetches      []*fetch
+	fetchedAt    time.Duration // time up to which the progress of the fetches is computed
+	fetchVersion int
+	speed        float64 // fetch rate in GB per second
+	sending      bool
+	reported     time.Duration
+	due          time.Duration // of the next report
 }
 
 // attempt is a task on a machine.
 type attempt struct {
-	m      *machine
-	job    *simJob
-	index  int
-	number uint64
-	state  model.TaskState
-	cause  model.Cause
-	saved  bool
-	began  time.Duration // running since
-	turn   int           // counts changes of state: what was due before is void
+	m            *machine
+	job          *simJob
+	index        int
+	number       uint64
+	state        model.TaskState
+	cause        model.Cause
+	saved        bool
+	began        time.Duration // when it started to run; -1: its progress is already counted
+	stateVersion int           // number of state changes; a timer set before a change does nothing
 }
 
 func (t *attempt) live() bool { return t.state != model.TaskExited && !t.m.terminated }
 
-// simJob is a job in the model's world.
+// simJob is a job in the simulation.
 type simJob struct {
 	spec     *model.Job
 	seen     *JobSeen
-	takes    map[int]time.Duration // of its tasks, drawn when first needed
-	progress map[int]time.Duration // saved
+	takes    map[int]time.Duration // run times of its tasks, drawn when first needed
+	progress map[int]time.Duration // saved in checkpoints
 	done     map[int]bool
 	running  map[uint64][]*attempt // of a gang, by attempt: those that have not exited
 }
@@ -74,8 +74,8 @@
 	m.report()
 }
 
-// changed has a report come soon.
-func (m *machine) changed() { m.schedule(max(m.w.sim.Now(), m.reported+leastReport)) }
+// changed schedules a report as soon as the least interval between reports allows.
+func (m *machine) changed() { m.schedule(max(m.w.sim.Now(), m.reported+minReportInterval)) }
 
 func (m *machine) schedule(at time.Duration) {
 	if !m.up || m.terminated || m.due > m.w.sim.Now() && m.due <= at {
@@ -90,7 +90,7 @@
 	})
 }
 
-func (m *machine) message() *model.Heartbeat {
+func (m *machine) heartbeat() *model.Heartbeat {
 	m.seq++
 	r := &model.Heartbeat{Machine: m.name, Addr: m.name, Type: m.pool.Type, Zone: m.pool.Zone, Spot: m.spot, Session: 1, Seq: m.seq,
 		Token: m.token, Tasks: make([]model.TaskStatus, 0, len(m.tasks))}
@@ -111,10 +111,10 @@
 	}
 	s := m.w.sim
 	m.sending, m.reported = true, s.Now()
-	r := m.message()
-	s.After(message, func() {
+	r := m.heartbeat()
+	s.After(messageDelay, func() {
 		m.w.node.HandleHeartbeat(m.w.Now(), r, func(v workers.HeartbeatResult) {
-			s.After(message, func() { m.answered(v) })
+			s.After(messageDelay, func() { m.answered(v) })
 		})
 	})
 }
@@ -130,28 +130,28 @@
 		return
 	}
 	m.schedule(m.reported + m.w.sim.Between(every*3/4, every*5/4))
-	m.sees(v.Token)
-	m.obey(v.Commands)
+	m.observeToken(v.Token)
+	m.execute(v.Commands)
 }
 
-func (m *machine) sees(token uint64) {
+func (m *machine) observeToken(token uint64) {
 	if token > m.token {
 		m.token = token
 		m.changed()
 	}
 }
 
-// orders is a direct call.
+// orders handles a direct call with commands and returns the HTTP status and a heartbeat.
 func (m *machine) orders(o model.DirectCommands) (int, *model.Heartbeat) {
 	if o.Token < m.token || o.Session != 1 {
-		return 409, m.message()
+		return 409, m.heartbeat()
 	}
-	m.sees(o.Token)
-	m.obey(o.Commands)
-	return 200, m.message()
+	m.observeToken(o.Token)
+	m.execute(o.Commands)
+	return 200, m.heartbeat()
 }
 
-func (m *machine) obey(commands []model.Command) {
+func (m *machine) execute(commands []model.Command) {
 	for _, c := range commands {
 		id, index, _ := model.SplitTask(c.Task)
 		i := slices.IndexFunc(m.tasks, func(t *attempt) bool {
@@ -175,18 +175,18 @@
 	}
 }
 
-// to is the one place where an attempt's state changes.
+// to changes the attempt's state; every change of state goes through it, except at the end of a machine.
 func (t *attempt) to(s model.TaskState) {
 	t.state = s
-	t.turn++
+	t.stateVersion++
 	t.m.changed()
 }
 
-// later does something if the attempt is still in the same state then.
+// later calls do after d, unless the attempt changes its state or the machine ends before.
 func (t *attempt) later(d time.Duration, do func()) {
-	turn := t.turn
+	stateVersion := t.stateVersion
 	t.m.w.sim.After(d, func() {
-		if t.turn == turn && !t.m.terminated {
+		if t.stateVersion == stateVersion && !t.m.terminated {
 			do()
 		}
 	})
@@ -217,14 +217,14 @@
 	}
 }
 
-// fetch is an image on its way.
+// fetch is the download of an image.
 type fetch struct {
 	image string
 	size  float64 // GB
 	left  float64
 }
 
-// waitForImage has an attempt wait for its image.
+// waitForImage makes the attempt ready when its image is cached, and fetches the image if needed.
 func (m *machine) waitForImage(t *attempt) {
 	image := t.job.spec.Image
 	if i := slices.IndexFunc(m.cache, func(f *fetch) bool { return f.image == image }); i >= 0 {
@@ -240,7 +240,7 @@
 	}
 }
 
-// rate is how fast each image comes, in GB a second.
+// rate returns the rate of each fetch in GB per second.
 func (m *machine) rate() float64 {
 	if m.w.supply.Shared {
 		return m.speed / float64(len(m.fetches))
@@ -248,7 +248,7 @@
 	return m.speed
 }
 
-// advance brings the fetches up to now.
+// advance updates the remaining size of the fetches to the current time.
 func (m *machine) advance() {
 	now := m.w.sim.Now()
 	for _, f := range m.fetches {
@@ -257,12 +257,12 @@
 	m.fetchedAt = now
 }
 
-// leastLeft is what rounding may leave of an image, in GB.
+// leastLeft is the remaining size, in GB, below which a fetch counts as complete, to allow for rounding.
 const leastLeft = 1e-6
 
-// nextFetch waits for the fetch that ends first.
+// nextFetch sets a timer for the fetch that ends first.
 func (m *machine) nextFetch() {
-	m.fetchTurn++
+	m.fetchVersion++
 	if len(m.fetches) == 0 {
 		return
 	}
@@ -270,18 +270,18 @@
 	for _, f := range m.fetches {
 		least = min(least, f.left)
 	}
-	turn, in := m.fetchTurn, time.Duration(0)
+	version, in := m.fetchVersion, time.Duration(0)
 	if m.speed > 0 {
 		in = model.Seconds(max(0, least)/m.rate()) + time.Microsecond
 	}
 	m.w.sim.After(in, func() {
-		if m.fetchTurn == turn && !m.terminated {
+		if m.fetchVersion == version && !m.terminated {
 			m.fetched()
 		}
 	})
 }
 
-// fetched goes on with those whose image is there now.
+// fetched completes the finished fetches and continues the attempts that waited for them.
 func (m *machine) fetched() {
 	m.advance()
 	var ready []*attempt
@@ -311,8 +311,8 @@
 	}
 }
 
-// unwanted gives a fetch up for which nobody waits any more.
-func (m *machine) unwanted(image string) {
+// cancelUnusedFetch cancels the fetch of an image if no attempt waits for it any more.
+func (m *machine) cancelUnusedFetch(image string) {
 	for _, t := range m.tasks {
 		if t.state == model.TaskFetching && t.job.spec.Image == image {
 			return
@@ -323,7 +323,7 @@
 	m.nextFetch()
 }
 
-// ready goes on with an attempt whose image is there.
+// ready continues an attempt whose image is available.
 func (t *attempt) ready() {
 	j := t.job
 	if j.done[t.index] {
@@ -343,7 +343,7 @@
 		}
 		return
 	}
-	wait := model.Seconds(t.m.w.supply.GangWaits.draw(t.m.w.sim.Rand, gangWait.Seconds()))
+	wait := model.Seconds(t.m.w.supply.GangWaits.draw(t.m.w.sim.Rand, defaultGangWait.Seconds()))
 	t.later(wait, func() { t.exit(model.CauseIsolated, false) })
 }
 
@@ -361,7 +361,7 @@
 	t.later(max(0, t.m.w.takes(j, t.key())-j.progress[t.key()]), t.done)
 }
 
-// key is whose run time and progress count: a gang has one for all its tasks.
+// key returns the index under which run time and progress are kept. All tasks of a gang share one.
 func (t *attempt) key() int {
 	if t.job.spec.Shape == model.Gang {
 		return 0
@@ -384,7 +384,7 @@
 	}
 }
 
-// stop ends an attempt, which saves first if it can and has the time.
+// stop ends an attempt, which first saves a checkpoint if it supports that and grace is long enough.
 func (m *machine) stop(t *attempt, grace time.Duration) {
 	j := t.job.spec
 	switch {
@@ -404,7 +404,7 @@
 	}
 }
 
-// counted marks an attempt, and all of its gang, as one whose progress counts already.
+// counted marks the progress of an attempt, and of its whole gang, as already counted.
 func (t *attempt) counted() {
 	t.began = -1
 	if t.job.spec.Shape == model.Gang {
@@ -414,7 +414,7 @@
 	}
 }
 
-// gangCheckpointed tells whether all of a gang save; a task of an array is whole by itself.
+// gangCheckpointed reports whether all tasks of a gang are saving. It is true for tasks of other jobs.
 func (t *attempt) gangCheckpointed() bool {
 	if t.job.spec.Shape != model.Gang {
 		return true
@@ -427,24 +427,24 @@
 	return true
 }
 
-// exit ends an attempt. What it did since its last checkpoint is lost unless it was
-// saved; the rest of a running gang notices.
+// exit ends an attempt. Progress since its last checkpoint is lost unless it was saved. The other
+// tasks of a running gang exit shortly after.
 func (t *attempt) exit(why model.Cause, saved bool) {
 	if t.state == model.TaskExited {
 		return
 	}
-	t.lose()
+	t.discardUnsaved()
 	fetching := t.state == model.TaskFetching
 	t.cause, t.saved = why, saved
 	t.to(model.TaskExited)
 	if fetching {
-		t.m.unwanted(t.job.spec.Image)
+		t.m.cancelUnusedFetch(t.job.spec.Image)
 	}
 	t.leaveGang(why)
 }
 
-// lose takes back the progress since the last checkpoint.
-func (t *attempt) lose() {
+// discardUnsaved drops the progress since the last periodic checkpoint.
+func (t *attempt) discardUnsaved() {
 	every := t.job.spec.CheckpointEvery
 	if t.state != model.TaskRunning && t.state != model.TaskSaving || every == 0 || t.began < 0 || t.job.done[t.index] {
 		return
@@ -455,7 +455,7 @@
 	t.counted()
 }
 
-// leaveGang takes an attempt off those of its gang.
+// leaveGang removes an attempt from its gang and makes the running rest exit.
 func (t *attempt) leaveGang(why model.Cause) {
 	j := t.job
 	if j.spec.Shape != model.Gang {
@@ -473,20 +473,20 @@
 	}
 	for _, o := range rest {
 		if o.state == model.TaskRunning {
-			o.later(t.m.w.sim.Between(0, gangPeer), func() { o.exit(model.CausePeers, false) })
+			o.later(t.m.w.sim.Between(0, gangPeerDelay), func() { o.exit(model.CausePeers, false) })
 		}
 	}
 }
 
-// end takes the machine away with all that is on it.
+// end terminates the machine and all its tasks.
 func (m *machine) end() {
 	if m.terminated {
 		return
 	}
 	for _, t := range m.tasks {
 		if t.live() {
-			t.lose()
-			t.turn++
+			t.discardUnsaved()
+			t.stateVersion++
 			t.state, t.cause = model.TaskExited, model.CausePeers
 			t.leaveGang(model.CausePeers)
 		}
@@ -494,14 +494,14 @@
 	m.terminated, m.tasks = true, nil
 }
 
-// leave has a machine go that was returned in the recording, where it got no more tasks
-// before that. Here some may still be on it: then it goes when they have ended.
+// leave removes a machine at the time at which it was returned in the recording. There it got no more
+// tasks before that. In the simulation it may still have some; then it is removed when they have ended.
 func (m *machine) leave(at time.Duration) {
 	m.leaving = at
 	if len(m.tasks) > 0 || m.terminated {
 		return
 	}
-	m.notice = max(at, m.w.sim.Now()) // so that none is started there
+	m.notice = max(at, m.w.sim.Now()) // so that no task is started on it
 	m.changed()
 	m.w.sim.At(at, func() {
 		if len(m.tasks) == 0 {
--- a/internal/replay/report.go
+++ b/internal/replay/report.go
@@ -19,7 +19,7 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// number writes a figure, and nothing where there is none.
+// number formats a figure, or returns "-" if there is none.
 func number(v float64) string {
 	if math.IsNaN(v) || math.IsInf(v, 0) {
 		return "-"
@@ -34,7 +34,7 @@
 	return fmt.Sprintf("%s (%s to %s)", number(s.Mean), number(s.Min), number(s.Max))
 }
 
-// verdict says in a word what a comparison shows.
+// verdict summarizes a comparison in a word.
 func (c Compared) verdict(changed bool) string {
 	switch {
 	case !changed:
@@ -56,7 +56,7 @@
 	return "within spread"
 }
 
-// tolerated is how far a day played under its own rules may be off the recording.
+// tolerated is how far a day simulated under its own rules may differ from the recording.
 const tolerated = 0.1
 
 // Print writes the answer as tables.
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// MarshalJSON writes figures that are missing as null.
+// MarshalJSON writes missing figures as null.
 func (s Spread) MarshalJSON() ([]byte, error) {
 	if math.IsNaN(s.Mean) {
 		return []byte("null"), nil
@@ -117,7 +117,7 @@
 	return json.Marshal(plain(s))
 }
 
-// MarshalJSON writes the days that there are.
+// MarshalJSON omits the days that do not exist.
 func (r Row) MarshalJSON() ([]byte, error) {
 	return json.Marshal(struct {
 		Group
@@ -126,7 +126,7 @@
 	}{r.Group, r.Figure, r.json()})
 }
 
-// MarshalJSON writes the days that there are.
+// MarshalJSON omits the days that do not exist.
 func (c Compared) MarshalJSON() ([]byte, error) { return json.Marshal(c.json()) }
 
 type jsonCompared struct {
@@ -147,7 +147,7 @@
 	return out
 }
 
-// days are those of a report, with their names.
+// days returns the days of a report with their names.
 func (a *Answer) days() (out []namedDay) {
 	out = append(out, namedDay{"recorded", 0, a.recorded})
 	for i, d := range a.before {
@@ -165,8 +165,7 @@
 	day  *Day
 }
 
-// Report writes a page with plots, and the raw events as Parquet, into a directory
-// that it makes.
+// Report writes a page with plots, and the raw events as Parquet, into a directory, which it creates.
 func (a *Answer) Report(dir string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return fmt.Errorf("report: %w", err)
@@ -211,7 +210,7 @@
 {{end}}<pre>{{.Text}}</pre></body></html>
 `))
 
-// draw makes a plot over a day as SVG, to be put into a page.
+// draw renders a plot over a day as SVG to embed in the page.
 func draw(title, y string, fill func(p *plot.Plot) error) (template.HTML, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "seconds", y
@@ -229,16 +228,16 @@
 		return "", err
 	}
 	svg := b.Bytes()
-	if i := bytes.Index(svg, []byte("<svg")); i > 0 { // without what begins a file
+	if i := bytes.Index(svg, []byte("<svg")); i > 0 { // without the file header
 		svg = svg[i:]
 	}
-	return template.HTML(svg), nil //nolint:gosec // drawn here, from numbers and our own words
+	return template.HTML(svg), nil //nolint:gosec // generated here from numbers and constant texts
 }
 
-// plotStep is how fine the plots over time are.
+// plotStep is the interval between the points of plots over time.
 const plotStep = 2 * time.Second
 
-// lines adds lines to a plot, one after the other in other colours.
+// lines adds lines to a plot, each in another colour.
 func lines(p *plot.Plot, names []string, points []plotter.XYs) error {
 	for i, xy := range points {
 		if len(xy) == 0 {
@@ -255,7 +254,7 @@
 	return nil
 }
 
-// first are the recorded day and the first one of each set of rules.
+// first returns the recorded day and the first simulated day of each set of rules.
 func (a *Answer) first() (out []namedDay) {
 	for _, d := range a.days() {
 		if d.seed <= 1 {
@@ -311,8 +310,8 @@
 	return lines(p, names, points)
 }
 
-// jobRow and taskRow are the raw events, one row for a job or an attempt of a task on a
-// day. Moments are seconds from the day's beginning; null: never.
+// jobRow and taskRow are the rows of the Parquet files, one for each job or attempt of a task on a
+// day. Times are in seconds from the beginning of the day; null means never.
 type jobRow struct {
 	Day       string   `parquet:"day,dict"`
 	Seed      int32    `parquet:"seed"`
--- a/internal/replay/supply.go
+++ b/internal/replay/supply.go
@@ -11,10 +11,10 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// Sample is what was observed of one quantity; what is drawn from it was observed.
+// Sample is the set of observed values of one quantity. Draws return one of these values.
 type Sample []float64
 
-// draw draws one observed value, or returns what is assumed if there is none.
+// draw returns a random observed value, or assumed if there is none.
 func (s Sample) draw(r *rand.Rand, assumed float64) float64 {
 	if len(s) == 0 {
 		return assumed
@@ -22,7 +22,7 @@
 	return s[r.IntN(len(s))]
 }
 
-// quantile returns the value below which a share of the sample lies.
+// quantile returns the q-quantile of the sample, or NaN if it is empty.
 func (s Sample) quantile(q float64) float64 {
 	if len(s) == 0 {
 		return math.NaN()
@@ -31,20 +31,20 @@
 	return sorted[min(len(sorted)-1, int(q*float64(len(sorted))))]
 }
 
-// Supply is what a recording showed of machines, cloud and tasks.
+// Supply is the behaviour of machines, cloud and tasks that was observed in a recording.
 type Supply struct {
 	Boots        map[string]Sample            // seconds, by type
-	Dead         int                          // machines that never came up, of
-	Rented       int                          // those that were rented
-	Fetches      map[string]Sample            // GB a second, by type
-	Beside       map[string]Sample            // of images fetched beside others on the same machine
+	Dead         int                          // rented machines that never came up
+	Rented       int                          // rented machines that came up, or that Dead counts
+	Fetches      map[string]Sample            // GB per second, by type
+	Beside       map[string]Sample            // the same, of images fetched at the same time as others on the machine
 	Shared       bool                         // whether images fetched at the same time share the rate
 	Ratios       map[string]Sample            // run time over estimate, by class
 	Runs         map[taskOf]float64           // seconds that a task ran until it was done
-	GangWaits    Sample                       // seconds that a gang's task waited for the others in vain
+	GangWaits    Sample                       // seconds that a gang's task waited for the others until it gave up
 	Fails        map[string]Sample            // seconds until a task failed, of jobs that only failed
-	limits       map[autoscaler.Market][]step // what the cloud has, as requests showed it
-	Recalls      int                          // spot machines taken
+	limits       map[autoscaler.Market][]step // capacity of the cloud, as launch requests showed it
+	Recalls      int                          // spot machines preempted
 	MachinesDied int                          // other machines lost
 	SpotH        float64                      // hours of spot machines
 	AllH         float64                      // hours of all machines
@@ -56,13 +56,13 @@
 	index int
 }
 
-// step is how many machines of a source there are from a moment on.
+// step is the number of machines that a market has from a time on.
 type step struct {
 	from time.Duration
-	most int // -1: as many as are asked for
+	most int // -1: unlimited
 }
 
-// supplyOf works out what a day shows.
+// supplyOf derives a Supply from a day.
 func supplyOf(d *Day) *Supply {
 	s := &Supply{Boots: map[string]Sample{}, Fetches: map[string]Sample{}, Beside: map[string]Sample{}, Ratios: map[string]Sample{}, Runs: map[taskOf]float64{},
 		Fails: map[string]Sample{}, limits: map[autoscaler.Market][]step{}}
@@ -71,7 +71,7 @@
 	}
 	s.fetches(d)
 	s.Shared = s.shares()
-	if !s.Shared { // then all of them tell of the rate
+	if !s.Shared { // then all fetches show the full rate
 		for name, beside := range s.Beside {
 			s.Fetches[name] = append(s.Fetches[name], beside...)
 		}
@@ -109,13 +109,14 @@
 	}
 }
 
-// leastFetch is how long an image should take, as published, for its speed to be
-// believed: reports are half a second apart, and of short fetches they show too much. By
-// how long it took, the slow ones of short fetches would count and the others not.
+// leastFetch is the least duration of a fetch, computed from the published rate, for its measured
+// rate to be used. Reports are half a second apart, so the measured rates of short fetches are too
+// high. Filtering by the measured duration would be biased: of the short fetches it would keep only
+// the slow ones.
 const leastFetch = 4 * time.Second
 
-// fetches works out how fast machines fetch images: from those that were alone on their
-// machine, for several share its rate.
+// fetches measures how fast machines fetch images. Fetches that overlap others on the same machine
+// are kept separately, because they may share its rate.
 func (s *Supply) fetches(d *Day) {
 	by := model.NewTable[string, []*TaskSeen]()
 	for _, t := range d.Tasks {
@@ -146,24 +147,25 @@
 	}
 }
 
-// enough is how many fetches of either sort tell whether they share a machine's rate.
-const enough = 20
+// minFetchSamples is the least number of fetches of either kind that is needed to decide whether
+// overlapping fetches share a machine's rate.
+const minFetchSamples = 20
 
-// shares tells whether images that a machine fetches at the same time share its rate:
-// the protocol leaves that open, and it differs from day to day.
+// shares reports whether images that a machine fetches at the same time share its rate. The
+// protocol does not specify it, and it differs from day to day.
 func (s *Supply) shares() bool {
 	for name, alone := range s.Fetches {
 		beside := s.Beside[name]
-		if len(alone) >= enough && len(beside) >= enough && beside.quantile(0.5) < 0.85*alone.quantile(0.5) {
+		if len(alone) >= minFetchSamples && len(beside) >= minFetchSamples && beside.quantile(0.5) < 0.85*alone.quantile(0.5) {
 			return true
 		}
 	}
 	return false
 }
 
-// tasks works out how long tasks run and images take.
+// tasks measures run times, failures and how long gang tasks waited for the others.
 func (s *Supply) tasks(d *Day) {
-	ran := map[taskOf]time.Duration{} // what was kept of earlier attempts
+	ran := map[taskOf]time.Duration{} // progress saved by earlier attempts
 	good := map[string]bool{}
 	fails := map[string]Sample{}
 	for _, t := range d.Tasks {
@@ -201,9 +203,8 @@
 	}
 }
 
-// capacity works out how many machines of each source there were: a request that
-// brought less than it asked for shows it, and what we held since shows that there
-// is more.
+// capacity estimates how many machines each market had. A request that got fewer machines than it
+// asked for shows the limit, and machines held since then show that there are more.
 func (s *Supply) capacity(d *Day) {
 	open := map[autoscaler.Market]int{} // most held since the last refusal
 	seen := map[autoscaler.Market]bool{}
@@ -216,13 +217,13 @@
 		s.limits[r.Source] = append(s.limits[r.Source], step{begin[r.Source], open[r.Source]})
 		open[r.Source], begin[r.Source], seen[r.Source] = r.Held, r.At, true
 	}
-	for src := range seen { // after the last refusal at least what was held
+	for src := range seen { // after the last refusal the limit is at least what was held
 		s.limits[src] = append(s.limits[src], step{begin[src], open[src]})
 	}
 }
 
-// most is how many machines of a source the cloud has at a moment; known is false if no
-// request ever showed it.
+// most returns how many machines of a market the cloud has at a time. known is false if no request
+// ever showed it.
 func (s *Supply) most(src autoscaler.Market, at time.Duration) (n int, known bool) {
 	for _, l := range s.limits[src] {
 		if l.from <= at || !known {
@@ -232,7 +233,7 @@
 	return n, known
 }
 
-// Assumptions says in words what was observed, and what had to be assumed.
+// Assumptions describes in text what was observed and what had to be assumed.
 func (s *Supply) Assumptions(d *Day) (out []string) {
 	say := func(format string, args ...any) { out = append(out, fmt.Sprintf(format, args...)) }
 	seen := model.NewTable[string, bool]()
@@ -273,7 +274,7 @@
 	if len(s.GangWaits) > 0 {
 		say("a gang's task waits for the others: %d times in vain, p50 %.1f s", len(s.GangWaits), s.GangWaits.quantile(0.5))
 	} else {
-		say("a gang's task waits for the others: never in vain, assumed %v", gangWait)
+		say("a gang's task waits for the others: never in vain, assumed %v", defaultGangWait)
 	}
 	say("jobs with a mistake, which only fail: %d", len(s.Fails))
 	say("capacity: shown by requests for %d sources; all others assumed without bound", len(s.limits))
--- a/internal/replay/verify.go
+++ b/internal/replay/verify.go
@@ -1,5 +1,6 @@
-// Package replay plays recordings: the same events through the same code, which must
-// decide the same; or the same jobs under other rules, to see what would have been.
+// Package replay replays recordings. It either feeds the recorded events through the same code,
+// which must make the same decisions, or simulates the recorded jobs under other rules and
+// compares the outcomes.
 package replay
 
 import (
@@ -20,17 +21,17 @@
 	"github.com/marlwood/marlwood/internal/scheduler"
 )
 
-// Verdict is what a recording's replay showed.
+// Verdict is the result of verifying a recording.
 type Verdict struct {
 	Found     *record.Contents `json:"found"`
 	Events    int              `json:"events"`
 	Decisions int              `json:"decisions"` // orders, rentals, returns, saves and the like
 	Equal     int              `json:"equal"`
 	Starts    int              `json:"starts"`
-	Differs   *Difference      `json:"differs,omitempty"` // the first
+	Differs   *Difference      `json:"differs,omitempty"` // the first one
 }
 
-// Difference is a decision that was not made again.
+// Difference describes an event whose replayed decisions differ from the recorded ones.
 type Difference struct {
 	Stream   string        `json:"stream"`
 	Frame    uint64        `json:"frame"`
@@ -38,20 +39,20 @@
 	Event    string        `json:"event"`
 	Recorded string        `json:"recorded"`
 	Replayed string        `json:"replayed"`
-	Around   []string      `json:"around"` // the state of what the decisions are about
+	Around   []string      `json:"around"` // state of the jobs and machines in the decisions
 }
 
-// Options are how a recording is verified.
+// Options configures how a recording is verified.
 type Options struct {
-	// ImportEvery has the core's state written and read again after every so many
-	// events, which must change nothing; 0: only where the recording has a state.
+	// ImportEvery is the number of events after which the scheduler's state is exported and
+	// imported again, which must change nothing. 0 imports only the states of the recording.
 	ImportEvery int
 }
 
-// errDifference ends the reading at the first difference.
+// errDifference stops reading at the first difference.
 var errDifference = errors.New("difference found")
 
-// Verify decides everything in a recording again and compares.
+// Verify replays all events of a recording and compares the decisions with the recorded ones.
 func Verify(dir string, opt Options) (*Verdict, error) {
 	v := &Verdict{}
 	p := &player{verdict: v, opt: opt}
@@ -63,20 +64,20 @@
 	return v, err
 }
 
-// player decides one stream after the other.
+// player replays streams one after another.
 type player struct {
 	verdict *Verdict
 	opt     Options
 	stream  string
 	core    *scheduler.Scheduler
 	last    uint64
-	since   int // events since the state was last written and read
+	since   int // events since the state was last exported and imported
 }
 
 func (p *player) frame(stream string, f *recordpb.Frame) error {
 	v := p.verdict
 	if stream != p.stream || f.Seq != p.last+1 {
-		p.core = nil // what follows a gap cannot be decided before the next state
+		p.core = nil // events after a gap cannot be replayed before the next state
 	}
 	p.stream, p.last = stream, f.Seq
 	if s := f.GetState(); s != nil {
@@ -120,13 +121,13 @@
 	return nil
 }
 
-// Count counts what an event led to.
+// Count returns the number of decisions that an event led to.
 func Count(d *recordpb.Decided) int {
 	return len(d.GetOrders()) + len(d.GetRentals()) + len(d.GetReturns()) + len(d.GetExpired()) + len(d.GetSaves()) +
 		len(d.GetFinished()) + len(d.GetMoves()) + len(d.GetDroppedHosts())
 }
 
-// difference tells what was decided otherwise, and how things stand round it.
+// difference describes how the decisions differ, with the state of the jobs and machines concerned.
 func difference(stream string, f *recordpb.Frame, decided *recordpb.Decided, c *scheduler.Scheduler) *Difference {
 	e := f.GetEvent()
 	what := e.ProtoReflect().WhichOneof(e.ProtoReflect().Descriptor().Oneofs().ByName("what"))
@@ -160,7 +161,7 @@
 	return d
 }
 
-// only lists the lines of a decision that another one lacks.
+// only returns the decisions in d, one a line, that are not in without.
 func only(d, without *recordpb.Decided) string {
 	lines := func(d *recordpb.Decided) []string {
 		var out []string
@@ -196,7 +197,7 @@
 	return strings.Join(out, "\n")
 }
 
-// printf writes to a command's output, whose errors are ignored.
+// printf writes to a command's output and ignores write errors.
 func printf(w io.Writer, format string, args ...any) { _, _ = fmt.Fprintf(w, format, args...) }
 
 // Print writes the verdict as text.
@@ -215,5 +216,5 @@
 	printf(w, "%d of %d decisions equal (%d events, %d starts)\n", v.Equal, v.Decisions, v.Events, v.Starts)
 }
 
-// Holds tells that everything that could be decided again was decided alike.
+// Holds reports whether all replayed decisions equal the recorded ones.
 func (v *Verdict) Holds() bool { return v.Differs == nil }
--- a/internal/replay/verify_test.go
+++ b/internal/replay/verify_test.go
@@ -17,34 +17,34 @@
 	"github.com/marlwood/marlwood/internal/simtest"
 )
 
-var update = flag.Bool("update", false, "record testdata anew")
+var update = flag.Bool("update", false, "record testdata again")
 
-// tape keeps all frames of one process.
-type tape struct {
+// frameRecorder keeps all frames of one process in memory.
+type frameRecorder struct {
 	stream string
 	seq    uint64
 	fresh  bool
-	frames []taped
+	frames []recordedFrame
 }
 
-type taped struct {
+type recordedFrame struct {
 	stream string
 	frame  *recordpb.Frame
 }
 
-func (t *tape) Begin(stream string)  { t.stream, t.seq, t.fresh = stream, 0, true }
-func (t *tape) Wanted() (bool, bool) { return true, t.fresh }
-func (t *tape) Record(f *recordpb.Frame) {
+func (t *frameRecorder) Begin(stream string)  { t.stream, t.seq, t.fresh = stream, 0, true }
+func (t *frameRecorder) Wanted() (bool, bool) { return true, t.fresh }
+func (t *frameRecorder) Record(f *recordpb.Frame) {
 	t.seq++
 	f.Seq, t.fresh = t.seq, false
-	t.frames = append(t.frames, taped{t.stream, proto.Clone(f).(*recordpb.Frame)}) // as a file would have it
+	t.frames = append(t.frames, recordedFrame{t.stream, proto.Clone(f).(*recordpb.Frame)}) // a copy, as a file would keep it
 }
 
-// recorded plays a schedule of faults and returns the recordings of all processes.
-func recorded(p simtest.Plan) (out []taped) {
-	var all []*tape
+// recorded runs a schedule of faults and returns the recorded frames of all processes.
+func recorded(p simtest.Plan) (out []recordedFrame) {
+	var all []*frameRecorder
 	simtest.Record(p, func() scheduler.Recorder {
-		t := &tape{}
+		t := &frameRecorder{}
 		all = append(all, t)
 		return t
 	})
@@ -54,9 +54,9 @@
 	return out
 }
 
-// What leaders decide through faults and takeovers is decided alike from their
-// recordings, also when the state is written and read in between.
-func TestSchedulesAreDecidedAgain(t *testing.T) {
+// Replaying the recordings of leaders yields the same decisions through faults and takeovers, also
+// when the state is exported and imported in between.
+func TestReplayMakesSameDecisions(t *testing.T) {
 	total := 0
 	for seed := 1; seed <= 20; seed++ {
 		frames := recorded(simtest.Plans.Example(seed))
@@ -75,14 +75,14 @@
 	}
 }
 
-// A recording in which something differs is found out, at the frame where it does.
-func TestDifferencesAreFound(t *testing.T) {
+// Replay reports a difference in a recording that was altered, at the altered frame or after it.
+func TestReplayReportsDifferences(t *testing.T) {
 	frames := recorded(simtest.Plans.Example(3))
 	seen := map[string]bool{}
 	for _, c := range []struct {
-		name   string
-		change func(f *recordpb.Frame) bool // tells whether it changed anything
-		says   string
+		name     string
+		change   func(f *recordpb.Frame) bool // reports whether it changed anything
+		wantText string
 	}{
 		{"another machine", func(f *recordpb.Frame) bool {
 			for _, o := range f.Decided.GetOrders() {
@@ -90,7 +90,7 @@
 			}
 			return len(f.Decided.GetOrders()) > 0
 		}, "order"},
-		{"a decision more", func(f *recordpb.Frame) bool {
+		{"an extra decision", func(f *recordpb.Frame) bool {
 			if f.Decided == nil || f.Seq < 50 {
 				return false
 			}
@@ -101,10 +101,10 @@
 			f.Hash++
 			return f.Seq > 20 && f.GetEvent() != nil
 		}, "hash"},
-		{"an event that was not", func(f *recordpb.Frame) bool {
+		{"a new job missing from an event", func(f *recordpb.Frame) bool {
 			a, fresh := f.GetEvent().GetChanged(), false
 			for _, it := range append(f.GetEvent().GetLoaded().GetJobs(), a.GetItems()...) {
-				fresh = fresh || a != nil && !it.Deleted && !seen[it.Key] // a job that comes, not one that changes
+				fresh = fresh || a != nil && !it.Deleted && !seen[it.Key] // a new job, not a changed one
 				seen[it.Key] = true
 			}
 			if fresh {
@@ -127,15 +127,15 @@
 			}
 		}
 		d := p.verdict.Differs
-		if changed == 0 || !errors.Is(err, errDifference) || d == nil || d.Frame < changed || !strings.Contains(d.Recorded+d.Replayed, c.says) {
+		if changed == 0 || !errors.Is(err, errDifference) || d == nil || d.Frame < changed || !strings.Contains(d.Recorded+d.Replayed, c.wantText) {
 			t.Errorf("%s in frame %d: %v, %+v", c.name, changed, err, d)
 		}
 	}
 }
 
-// The recording in testdata is decided alike by the present code. After a change of
-// what is decided it is recorded anew with -update.
-func TestRecording(t *testing.T) {
+// Replaying the recording in testdata with the present code yields the recorded decisions. After an
+// intended change of decisions, -update records it again.
+func TestTestdataRecordingReplays(t *testing.T) {
 	const dir = "testdata/day"
 	if *update {
 		if err := os.RemoveAll(dir); err != nil {
--- a/internal/replay/whatif.go
+++ b/internal/replay/whatif.go
@@ -15,25 +15,25 @@
 	"github.com/marlwood/marlwood/internal/settings"
 )
 
-// Question is what a recorded day is asked.
+// Question describes the simulations to run on a recorded day.
 type Question struct {
 	Dir      string
 	Settings string // operators' settings that change; "" for none
 	Teams    string // teams that change
 	Machines string // machine types and capacities that change
-	Seeds    int    // days to play under each set of rules
+	Seeds    int    // simulations for each set of rules
 	Recorded bool   // machines come and go as recorded, under either set
-	Workers  int    // days played at once
+	Workers  int    // simulations that run at the same time
 	Progress func(done, of int)
 }
 
-// changes tells whether anything is asked to be different.
+// changes reports whether the question changes any rules.
 func (q *Question) changes() bool { return q.Settings != "" || q.Teams != "" || q.Machines != "" }
 
-// ErrInput tells of a question that cannot be asked.
+// ErrInput is returned for an invalid question.
 var ErrInput = errors.New("cannot ask")
 
-// Answer is what would have been.
+// Answer compares the recorded day with the simulated ones.
 type Answer struct {
 	Length      time.Duration `json:"length_ns"`
 	Terms       int           `json:"terms"`
@@ -55,26 +55,26 @@
 	Compared
 }
 
-// Compared is a figure as recorded, and over seeds under the recorded and under the
+// Compared is a figure as recorded, and its spread over seeds under the recorded and under the
 // changed rules.
 type Compared struct {
 	Recorded float64 `json:"-"`
 	Before   Spread  `json:"-"`
 	After    Spread  `json:"-"`
-	Changed  bool    `json:"changed"` // by more than the spread over seeds
+	Changed  bool    `json:"changed"` // the ranges over seeds do not overlap
 }
 
-// OrderAnswer is how like the recording the days under its own rules started their jobs.
+// OrderAnswer measures how closely simulations under the recorded rules reproduce the start order.
 type OrderAnswer struct {
 	Jobs   int           `json:"jobs"`
 	Pairs  int           `json:"pairs"`  // of which one started more than a second earlier
-	Turned int           `json:"turned"` // in the other order
+	Turned int           `json:"turned"` // started in the opposite order
 	Worst  time.Duration `json:"worst_ns"`
 	OffP50 float64       `json:"off_p50_s"`
 	OffP90 float64       `json:"off_p90_s"`
 }
 
-// GangChange is a gang that started on other machines.
+// GangChange is a gang whose numbers of tasks per pool differ under the changed rules.
 type GangChange struct {
 	Job    string `json:"job"`
 	Class  string `json:"class"`
@@ -82,7 +82,7 @@
 	After  string `json:"after"`
 }
 
-// Ask plays a recorded day under its own and under changed rules.
+// Ask simulates a recorded day under its own and under changed rules, and compares them.
 func Ask(q Question) (*Answer, error) {
 	d, _, err := ReadDay(q.Dir)
 	if err != nil {
@@ -114,8 +114,8 @@
 	}
 	a.compare()
 	if q.Recorded && !q.changes() {
-		// The models' reports come at other moments. With the recorded ones, too, every
-		// job must start when it did.
+		// The reports of the simulated machines come at other times than the recorded ones. With
+		// the recorded reports, every job must start when it did.
 		if a.Exact, err = Verify(q.Dir, Options{}); err != nil {
 			return nil, err
 		}
@@ -123,7 +123,7 @@
 	return a, nil
 }
 
-// playAll plays every set of rules with every seed, some at once.
+// playAll simulates every set of rules with every seed, up to q.Workers at the same time.
 func playAll(d *Day, supply *Supply, sets []Rules, q Question) ([][]*Day, error) {
 	days := make([][]*Day, len(sets))
 	var group sync.WaitGroup
@@ -150,7 +150,7 @@
 	return days, failed
 }
 
-// rules are the changed ones.
+// rules returns the rules with the question's changes.
 func (q *Question) rules(d *Day, r Rules) (Rules, error) {
 	if q.Settings != "" {
 		op, err := r.Operator.Change(q.Settings)
@@ -198,7 +198,7 @@
 	return r, nil
 }
 
-// compare works out the answer's figures.
+// compare computes the answer's figures.
 func (a *Answer) compare() {
 	recorded := figures(a.recorded)
 	all := func(days []*Day) (out []map[Group]*Figures) {
@@ -246,7 +246,7 @@
 	a.gangs()
 }
 
-// order compares the order of starts, over all seeds.
+// order compares the start order with the recording, summed over all seeds.
 func (a *Answer) order() {
 	out := &OrderAnswer{}
 	var off Sample
@@ -259,7 +259,8 @@
 	a.Order = out
 }
 
-// gangs lists those which the first days under both sets of rules put elsewhere.
+// gangs lists the gangs whose numbers of tasks per pool differ between the first simulated days of
+// the two sets of rules.
 func (a *Answer) gangs() {
 	if len(a.after) == 0 {
 		return
--- a/internal/replay/whatif_test.go
+++ b/internal/replay/whatif_test.go
@@ -26,9 +26,9 @@
 var boxes = map[string]model.MachineType{"box": {Name: "box", Size: model.Size{CPUs: 16, MemoryGB: 64}, CacheGB: 100, FetchGBPerS: 1,
 	Price: 1, SpotPrice: 0.3, Boot: 20 * time.Second, Zones: []string{"a", "b"}}}
 
-// made is a day of so many jobs that nobody recorded: arrays, gangs that need their
-// zone, some that wait for others or are cancelled, in two teams of which one is tight.
-func made(t testing.TB, jobs, tasks int, length time.Duration) *Day {
+// syntheticDay returns a generated day with the given number of jobs: arrays, gangs that need one
+// zone, and jobs that wait for others or are cancelled. One of the two teams has a low limit.
+func syntheticDay(t testing.TB, jobs, tasks int, length time.Duration) *Day {
 	t.Helper()
 	op, err := settings.LoadOperator("")
 	if err != nil {
@@ -74,7 +74,7 @@
 	return d
 }
 
-// bounded is a cloud that has so many boxes of each source.
+// bounded returns a capacity of n machines of type box in each market.
 func bounded(n int) map[autoscaler.Market]int {
 	out := map[autoscaler.Market]int{}
 	for _, z := range []string{"a", "b"} {
@@ -85,13 +85,12 @@
 	return out
 }
 
-// What is played keeps the rules that the live core keeps: a gang runs whole and in its
-// zone, no task runs twice at once, no machine holds more than it can, a team stays
-// within its limit, nothing of a cancelled job starts, and what waits starts after what
-// it needs. Machines are few, so that gangs are held and small work fills the gaps; spot
-// machines are recalled and others die.
-func TestPlayedDaysKeepTheRules(t *testing.T) {
-	d := made(t, 80, 12, 15*time.Minute)
+// A simulated day keeps the invariants of the live scheduler: a gang runs whole and in one zone, no
+// task runs twice at the same time, no machine is overcommitted, a team stays within its limit, no
+// task of a cancelled job starts, and a job starts after the jobs it needs. Machines are scarce, so
+// that gangs wait and small jobs fill the gaps; spot machines are preempted and others die.
+func TestSimulatedDayKeepsInvariants(t *testing.T) {
+	d := syntheticDay(t, 80, 12, 15*time.Minute)
 	s := supplyOf(d)
 	s.Recalls, s.SpotH, s.Leads, s.MachinesDied, s.AllH = 20, 1, Sample{20, 0, 30}, 4, 1
 	r, err := rulesOf(d)
@@ -137,7 +136,7 @@
 		on[c.t.Machine] = on[c.t.Machine].Add(j.Spec.Size)
 		team[j.Spec.Team] += j.Spec.Size.CPUs
 		if !on[c.t.Machine].Fits(boxes["box"].Size) {
-			t.Errorf("%s holds %+v", c.t.Machine, on[c.t.Machine])
+			t.Errorf("%s is overcommitted: %+v", c.t.Machine, on[c.t.Machine])
 		}
 		if limit := r.Platform.Teams[j.Spec.Team].Limit.CPUs; limit > 0 && team[j.Spec.Team] > limit {
 			t.Errorf("team %s takes %v of %v CPUs", j.Spec.Team, team[j.Spec.Team], limit)
@@ -160,7 +159,7 @@
 	whole := 0
 	for _, g := range gangs {
 		j, ran := x.Jobs.At(g[0].Job).Spec, 0
-		pieces := map[int]bool{} // one that was lost before all ran is ordered once more
+		pieces := map[int]bool{} // a task that was lost before all ran is ordered again
 		for _, a := range g {
 			pieces[a.Index] = true
 			if a.Running >= 0 {
@@ -188,9 +187,9 @@
 	}
 }
 
-// The same seed makes the same day.
-func TestPlayRepeats(t *testing.T) {
-	d := made(t, 30, 8, 5*time.Minute)
+// The same seed yields the same day, and another seed a different one.
+func TestSimulationIsDeterministic(t *testing.T) {
+	d := syntheticDay(t, 30, 8, 5*time.Minute)
 	r, err := rulesOf(d)
 	if err != nil {
 		t.Fatal(err)
@@ -211,15 +210,15 @@
 	}
 }
 
-// A day that is played under known times is taken for a recorded one: what is worked out
-// of it must be what it was made with.
-func TestSupplyIsWorkedOut(t *testing.T) {
-	d := made(t, 60, 10, 8*time.Minute)
+// A day that was simulated with known boot, run and fetch times is used as a recording: the supply
+// derived from it must match these times.
+func TestSupplyMatchesSimulatedTimes(t *testing.T) {
+	d := syntheticDay(t, 60, 10, 8*time.Minute)
 	s := supplyOf(d)
 	for _, l := range []string{"boot of", "fetches on"} {
 		for _, a := range s.Assumptions(d) {
 			if strings.HasPrefix(a, l) && !strings.Contains(a, "never observed") {
-				t.Errorf("of a day that nobody saw: %s", a)
+				t.Errorf("a day without observations has an observed value: %s", a)
 			}
 		}
 	}
@@ -259,21 +258,22 @@
 		}
 	}
 	if len(got.limits) == 0 {
-		t.Error("no request showed what the cloud has")
+		t.Error("no launch request showed a capacity limit")
 	}
 	r.Recorded = true
 	y, err := play(x, got, r, 9)
 	if err != nil {
 		t.Fatal(err)
 	}
-	// Other draws turn 4 to 6 of a hundred pairs.
+	// Other random draws reverse 4 to 6 of a hundred pairs.
 	if o := orderOf(x, y); o.Jobs < 40 || float64(o.Turned) > 0.08*float64(o.Pairs) {
-		t.Errorf("played with the recorded machines: %+v", o)
+		t.Errorf("start order in a simulation with the recorded machines: %+v", o)
 	}
 }
 
-// A machine's fetches, one by one and together.
-func TestFetches(t *testing.T) {
+// Images are ready at the time that follows from their size and the rate, when a machine fetches one
+// alone or two at the same time, with and without sharing its rate.
+func TestImageFetchTimes(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		shared bool
@@ -285,7 +285,7 @@
 		{"the second comes later", true, []time.Duration{0, time.Second}, []time.Duration{3 * time.Second, 4 * time.Second}},
 		{"they do not share", false, []time.Duration{0, time.Second}, []time.Duration{2 * time.Second, 3 * time.Second}},
 	} {
-		d := made(t, 1, 1, time.Minute)
+		d := syntheticDay(t, 1, 1, time.Minute)
 		s := supplyOf(d)
 		s.Shared = c.shared
 		w := newEnvironment(d, s, Rules{Platform: d.Config.Settings.Platform, Types: boxes}, 1)
@@ -301,13 +301,13 @@
 		}
 		for i, t2 := range m.tasks {
 			if off := t2.began - c.ready[i]; off < 0 || off > 10*time.Millisecond {
-				t.Errorf("%s: image %d is there after %v, not %v", c.name, i, t2.began, c.ready[i])
+				t.Errorf("%s: image %d is ready after %v, not %v", c.name, i, t2.began, c.ready[i])
 			}
 		}
 	}
 }
 
-// A question gets an answer; what cannot be asked gets one line.
+// A valid question is answered; an invalid one is refused with an error of one line.
 func TestAsk(t *testing.T) {
 	write := func(text string) string {
 		path := filepath.Join(t.TempDir(), "f.sexp")
@@ -317,9 +317,9 @@
 		return path
 	}
 	for _, c := range []struct {
-		name string
-		q    Question
-		says string // "": it is answered
+		name     string
+		q        Question
+		wantText string // text of the error; "": the question is answered
 	}{
 		{"nothing changes", Question{}, ""},
 		{"recorded machines", Question{Recorded: true}, ""},
@@ -327,21 +327,21 @@
 		{"a limit", Question{Teams: write(`(teams (team "free" (cpus-max 2)))`)}, ""},
 		{"no machines", Question{Machines: write(`(machines (capacity "box" "a" (ordinary 0) (spot 0)) (type "box" (boot "2s") (price 3)))`)}, ""},
 		{"an unknown setting", Question{Settings: write(`(marlwood (placement (drwas 5)))`)}, "placement.drwas: unknown setting"},
-		{"times that check refuses", Question{Settings: write(`(marlwood (leadership (grant "0s")))`)}, "leadership.grant"},
-		{"a team that no job names", Question{Teams: write(`(teams (team "nobody" (cpus 2)))`)}, `team "nobody": no job names it`},
-		{"a team's field", Question{Teams: write(`(teams (team "free" (cpu 2)))`)}, "cpu: unknown"},
+		{"an invalid lease time", Question{Settings: write(`(marlwood (leadership (grant "0s")))`)}, "leadership.grant"},
+		{"an unused team", Question{Teams: write(`(teams (team "nobody" (cpus 2)))`)}, `team "nobody": no job names it`},
+		{"an unknown field of a team", Question{Teams: write(`(teams (team "free" (cpu 2)))`)}, "cpu: unknown"},
 		{"a negative limit", Question{Teams: write(`(teams (team "free" (cpus-max -2)))`)}, "cpus-max: must not be negative"},
 		{"an unknown zone", Question{Machines: write(`(machines (capacity "box" "z" (ordinary 2)))`)}, `there is no type "box" in zone "z"`},
-		{"a type", Question{Machines: write(`(machines (type "bix" (price 2)))`)}, `type "bix": unknown`},
+		{"an unknown machine type", Question{Machines: write(`(machines (type "bix" (price 2)))`)}, `type "bix": unknown`},
 		{"a boot without a unit", Question{Machines: write(`(machines (type "box" (boot 30)))`)}, `boot: needs a duration such as "30s"`},
-		{"machines both ways", Question{Recorded: true, Machines: write(`(machines (type "box" (price 2)))`)}, "as recorded"},
+		{"recorded machines and changed machines", Question{Recorded: true, Machines: write(`(machines (type "box" (price 2)))`)}, "as recorded"},
 		{"not an expression", Question{Teams: write(`{{{`)}, "not an S-expression"},
 		{"no such file", Question{Teams: "/nonexistent"}, "no such file"},
 	} {
 		c.q.Dir, c.q.Seeds = "testdata/day", 2
 		a, err := Ask(c.q)
-		if c.says != "" {
-			if !errors.Is(err, ErrInput) || !strings.Contains(err.Error(), c.says) || strings.Contains(err.Error(), "\n") {
+		if c.wantText != "" {
+			if !errors.Is(err, ErrInput) || !strings.Contains(err.Error(), c.wantText) || strings.Contains(err.Error(), "\n") {
 				t.Errorf("%s: %v", c.name, err)
 			}
 			continue
@@ -367,9 +367,10 @@
 	}
 }
 
-// What changes shows: a tight limit makes a team wait, and only then counts as a change.
+// A lower team limit makes that team wait longer and is reported as a change; a group that the limit
+// does not affect is reported as unchanged.
 func TestChangesShow(t *testing.T) {
-	d := made(t, 60, 10, 10*time.Minute)
+	d := syntheticDay(t, 60, 10, 10*time.Minute)
 	before, err := rulesOf(d)
 	if err != nil {
 		t.Fatal(err)
@@ -412,11 +413,11 @@
 	}
 }
 
-// BenchmarkPlay plays twelve minutes with about 30,000 tasks, and 4 and 16 times that.
+// BenchmarkPlay simulates twelve minutes with about 30,000 tasks, and 4 and 16 times that.
 func BenchmarkPlay(b *testing.B) {
 	for _, n := range []int{1, 4, 16} {
 		b.Run(fmt.Sprintf("%dx", n), func(b *testing.B) {
-			d := made(b, 600*n, 50, 12*time.Minute)
+			d := syntheticDay(b, 600*n, 50, 12*time.Minute)
 			r, err := rulesOf(d)
 			if err != nil {
 				b.Fatal(err)
