--- a/internal/record/broadcaster.go
+++ b/internal/record/broadcaster.go
@@ -70,8 +70,8 @@
 // ErrReaders is returned by Attach when the Broadcaster has the maximum number of readers.
 var ErrReaders = errors.New("too many recorders")
 
-// Attach adds a reader. known lists the last frame that the reader has of each stream. If one of them is the
-// current stream and the ring still has what follows, the reader continues without a gap.
+// Attach adds a reader. known lists the last frame that the reader has of each stream. If one of them
+// is the current stream and the ring still has the frames after it, the reader continues without a gap.
 func (b *Broadcaster) Attach(known []*recordpb.Known) (*Reader, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/record/segments.go
+++ b/internal/record/segments.go
@@ -28,8 +28,8 @@
 // fileNamePattern matches a file's name: the stream and the number of the segment.
 var fileNamePattern = regexp.MustCompile(`^([0-9]{20}-[A-Za-z0-9._-]+)\.([0-9]{6})\.mwr$`)
 
-// StreamName returns the name of the stream of a leader's term. Names sort by fencing token; characters
-// that are not safe in a file's name are replaced.
+// StreamName returns the name of the stream of a leader's term. Names sort by fencing token.
+// Characters that are not safe in a file name are replaced.
 func StreamName(token uint64, member, boot string) string {
 	return fmt.Sprintf("%020d-%s-%s", token, unsafeCharacters.ReplaceAllString(member, "_"), unsafeCharacters.ReplaceAllString(boot, "_"))
 }
--- a/internal/replay/report.go
+++ b/internal/replay/report.go
@@ -117,7 +117,7 @@
 	return json.Marshal(plain(s))
 }
 
-// MarshalJSON omits the days that do not exist.
+// MarshalJSON writes a missing recorded figure as null and omits a missing After.
 func (r Row) MarshalJSON() ([]byte, error) {
 	return json.Marshal(struct {
 		Group
@@ -126,7 +126,7 @@
 	}{r.Group, r.Figure, r.json()})
 }
 
-// MarshalJSON omits the days that do not exist.
+// MarshalJSON writes a missing recorded figure as null and omits a missing After.
 func (c Compared) MarshalJSON() ([]byte, error) { return json.Marshal(c.json()) }
 
 type jsonCompared struct {
