--- a/internal/filter/filter.go
+++ b/internal/filter/filter.go
@@ -1,10 +1,9 @@
-// Package filter is the language in which operators select rows of a table, such as
+// Package filter parses and evaluates the expressions with which operators select rows of a table, such as
 //
 //	team = grafo and wait > 30s and zone in (lambrate, bovisa)
 //
-// Columns are the fields of a protobuf message. An expression is checked against them
-// before the first row, and an error points at the column of the text where the mistake
-// is.
+// The columns of a table are the fields of a protobuf message. Parse checks an expression against them
+// before any row is read, and an error gives the position of the mistake in the text.
 package filter
 
 import (
@@ -22,7 +21,7 @@
 	"google.golang.org/protobuf/reflect/protoreflect"
 )
 
-// The grammar.
+// The grammar of expressions.
 type (
 	orExpr struct {
 		Terms []*andExpr `parser:"@@ ( 'or' @@ )*"`
@@ -48,7 +47,7 @@
 	}
 )
 
-// parser is made when it is first used, because the daemon links this package as well.
+// parser returns the expression parser. It is built on first use, because the daemon links this package as well.
 var parser = sync.OnceValue(func() *participle.Parser[orExpr] {
 	return participle.MustBuild[orExpr](
 		participle.Lexer(lexer.MustSimple([]lexer.SimpleRule{
@@ -64,29 +63,29 @@
 	)
 })
 
-// Error is a mistake in an expression.
+// Error describes a mistake in an expression.
 type Error struct {
 	Text   string // the expression
-	Column int    // from 1
+	Column int    // position of the mistake in Text, counted from 1
 	Reason string
 }
 
-// Error shows the expression with a mark below the mistake.
+// Error returns the reason and the expression, with a mark below the mistake.
 func (e *Error) Error() string {
 	return fmt.Sprintf("column %d: %s\n  %s\n  %s^", e.Column, e.Reason, e.Text, strings.Repeat(" ", max(0, e.Column-1)))
 }
 
-// Filter selects rows. A nil Filter selects all.
+// Filter selects rows. A nil Filter selects all rows.
 type Filter struct {
 	match func(m protoreflect.Message) bool
 }
 
-// Match tells whether a row, of the message that the filter was made for, is selected.
+// Match reports whether the filter selects a row. The row must be of the message type given to Parse.
 func (f *Filter) Match(row proto.Message) bool { return f == nil || f.match(row.ProtoReflect()) }
 
-// Parse compiles an expression over the fields of a message; an empty one selects all rows.
-// A field in seconds (wait_s) is compared with durations such as 30s, and may be named
-// without its suffix. Errors are of type *Error.
+// Parse compiles an expression over the fields of a message; an empty expression selects all rows.
+// A field in seconds, such as wait_s, is compared with durations such as 30s, and its name may be
+// written without the suffix _s. Errors are of type *Error.
 func Parse(text string, of proto.Message) (*Filter, error) {
 	if strings.TrimSpace(text) == "" {
 		return nil, nil
@@ -108,10 +107,10 @@
 	return &Filter{match}, nil
 }
 
-// matcher tells whether a row is selected.
+// matcher reports whether a row is selected.
 type matcher func(m protoreflect.Message) bool
 
-// compiler turns a parsed expression into a function, and keeps the first error.
+// compiler turns a parsed expression into a matcher, and keeps the first error.
 type compiler struct {
 	text   string
 	fields protoreflect.FieldDescriptors
@@ -158,7 +157,8 @@
 	return func(m protoreflect.Message) bool { return !inner(m) }
 }
 
-// column finds a field by its name, whose ending _s may be left out.
+// column returns the field with a name, whose suffix _s may be omitted. span reports whether the field is a duration
+// in seconds.
 func (c *compiler) column(name string) (f protoreflect.FieldDescriptor, span bool) {
 	for _, n := range []string{name + "_s", name} {
 		if f := c.fields.ByName(protoreflect.Name(n)); f != nil && !f.IsList() && f.Kind() != protoreflect.MessageKind {
@@ -168,7 +168,7 @@
 	return nil, false
 }
 
-// Columns are the names by which a message's fields can be filtered.
+// Columns returns the names of the fields that can be filtered, without the suffix _s.
 func Columns(fields protoreflect.FieldDescriptors) (out []string) {
 	for i := range fields.Len() {
 		if f := fields.Get(i); !f.IsList() && f.Kind() != protoreflect.MessageKind {
@@ -216,7 +216,7 @@
 	}
 }
 
-// numberTests are the comparisons of numbers, by operator; "" is the operator in.
+// numberTests holds the comparisons of numbers by operator; "" stands for the operator "in".
 var numberTests = map[string]func(x, y float64) bool{
 	"":   func(x, y float64) bool { return x == y },
 	"=":  func(x, y float64) bool { return x == y },
@@ -227,7 +227,7 @@
 	">=": func(x, y float64) bool { return x >= y },
 }
 
-// numberOf reads a field that is a number.
+// numberOf returns the value of a numeric field.
 func numberOf(m protoreflect.Message, field protoreflect.FieldDescriptor) float64 {
 	switch field.Kind() {
 	case protoreflect.DoubleKind:
@@ -238,7 +238,7 @@
 	return float64(m.Get(field).Uint())
 }
 
-// parseNumber reads a number, or a span in seconds.
+// parseNumber parses a number or, if span is set, also a duration, which it returns in seconds.
 func parseNumber(text string, span bool) (float64, bool) {
 	if n, err := strconv.ParseFloat(text, 64); err == nil {
 		return n, true
--- a/internal/filter/filter_test.go
+++ b/internal/filter/filter_test.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// A mistake is shown where it is.
-func TestMistakes(t *testing.T) {
+// TestErrorColumns checks that an error gives the position of the mistake in the expression.
+func TestErrorColumns(t *testing.T) {
 	for text, column := range map[string]int{
 		"teem=grafo":              1,
 		"team=grafo and wiat>30s": 16,
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,4 +1,4 @@
-// Package metrics measures where a controller's time and sockets go, and serves the result
+// Package metrics measures how a controller uses its time and sockets, and serves the result
 // in the Prometheus text format. The methods of a nil Set do nothing, so callers need not
 // check whether metrics are enabled.
 package metrics
@@ -20,17 +20,17 @@
 	"github.com/marlwood/marlwood/internal/sockets"
 )
 
-// Part is a part of the leader's scheduling round.
+// Part is a phase of the leader's scheduling round.
 type Part string
 
-// The parts of a round, in their order.
+// The parts of a round, in order of execution.
 const (
-	Ask     Part = "ask"     // the queue is sorted and sample requests are made
-	Samples Part = "samples" // waiting for the owners' samples
-	Place   Part = "place"   // machines are chosen, and tasks preempted
+	Ask     Part = "ask"     // sorting the queue and creating the sample requests
+	Samples Part = "samples" // waiting for the samples of the pool owners
+	Place   Part = "place"   // choosing machines and preempting tasks
 )
 
-// Set is what one controller measures. It is safe for concurrent use.
+// Set holds the metrics of one controller. It is safe for concurrent use.
 type Set struct {
 	registry         *prometheus.Registry
 	loopDelay        prometheus.Histogram
@@ -43,10 +43,11 @@
 	usage            *prometheus.GaugeVec
 }
 
-// durationBuckets are the buckets of durations: 0.1 ms to 26 s.
+// durationBuckets are the histogram buckets of durations, from 0.1 ms to 26 s.
 var durationBuckets = prometheus.ExponentialBuckets(0.0001, 4, 10)
 
-// New makes a set. use returns the use of sockets when the page is requested.
+// New creates a set for one controller. use is called for each request of the page and returns the
+// current use of sockets.
 func New(member string, use func() sockets.Use) *Set {
 	set := &Set{registry: prometheus.NewRegistry()}
 	labels := prometheus.Labels{"controller": member}
@@ -72,7 +73,7 @@
 	return set
 }
 
-// socketCollector collects how sockets are used.
+// socketCollector collects the metrics of sockets.
 type socketCollector struct {
 	use                func() sockets.Use
 	open, peak, closed *prometheus.Desc
@@ -132,8 +133,8 @@
 	}
 }
 
-// Churn counts machines that were returned unused, and requests for machines soon after such
-// returns.
+// Churn adds to the number of machines that were returned unused, and to the number of requests for machines soon
+// after such returns.
 func (s *Set) Churn(unused, loops uint64) {
 	if s != nil {
 		s.unusedReturns.Add(float64(unused))
@@ -141,7 +142,8 @@
 	}
 }
 
-// Usage records what teams have used, of which nothing is known without rows. A sum never decreases on one controller.
+// Usage records the resources that teams have used. Without rows the usage is unknown, and all its series are removed.
+// A sum never decreases on one controller.
 func (s *Set) Usage(rows []accounting.Row) {
 	if s == nil {
 		return
@@ -172,15 +174,15 @@
 	return out.Bytes(), nil
 }
 
-// readers bounds the connections to the page.
-const readers = 8
+// maxPageConnections limits the connections to the page.
+const maxPageConnections = 8
 
 // Serve answers GET /metrics on an address until ctx ends. A failure to listen is logged
 // and has no other effect.
 func (s *Set) Serve(ctx context.Context, addr string, log *slog.Logger) {
 	options := httpwire.ServerOptions{
 		Limits:      httpwire.Limits{Head: 8 << 10, Body: 1 << 10},
-		Admission:   pageAdmission{sockets.New(sockets.Limits{Listener: readers, Workers: readers})},
+		Admission:   pageAdmission{sockets.New(sockets.Limits{Listener: maxPageConnections, Workers: maxPageConnections})},
 		PartialWait: 5 * time.Second,
 		IdleWait:    time.Minute,
 		Log:         log,
@@ -197,7 +199,7 @@
 	}
 }
 
-// answer answers one request.
+// answer returns the answer to one request.
 func (s *Set) answer(request *httpwire.Request) httpwire.Answer {
 	if request.Path != "/metrics" || request.Method != http.MethodGet {
 		return httpwire.Answer{Status: http.StatusNotFound, Body: []byte(`{"error":"GET /metrics is all there is here"}`)}
@@ -209,7 +211,7 @@
 	return httpwire.Answer{Status: http.StatusOK, Body: page, Type: string(expfmt.NewFormat(expfmt.TypeTextPlain))}
 }
 
-// pageAdmission admits the readers of the page.
+// pageAdmission admits connections to the page.
 type pageAdmission struct{ *sockets.Budget }
 
 // DutyOf implements httpwire.Admission.
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -15,8 +15,8 @@
 	"github.com/marlwood/marlwood/internal/sockets"
 )
 
-// The page shows what was measured, in the form that others read; what is off measures
-// nothing.
+// TestPage checks that the page shows the recorded values in the Prometheus text format, and that the methods of a nil
+// Set do nothing.
 func TestPage(t *testing.T) {
 	var off *Set
 	off.Loop(time.Second)
@@ -71,7 +71,7 @@
 	}
 }
 
-// What measuring costs, for each event.
+// BenchmarkLoop measures the cost of recording one event.
 func BenchmarkLoop(b *testing.B) {
 	s := New("berth-0", func() sockets.Use { return sockets.Use{} })
 	b.ReportAllocs()
@@ -80,7 +80,8 @@
 	}
 }
 
-// What teams have used is on the page as long as it is known, and not at all when it is not.
+// TestUsageOnPage checks that the page shows the usage of teams while it is known, and no usage series at all while it
+// is unknown.
 func TestUsageOnPage(t *testing.T) {
 	set := New("berth-0", sockets.New(sockets.Limits{Listener: 10, Workers: 5}).Use)
 	ledger := accounting.NewLedger()
--- a/internal/optimum/cmd/main.go
+++ b/internal/optimum/cmd/main.go
@@ -1,4 +1,4 @@
-// Command cmd prints the bound of package bound for a recorded day.
+// Command cmd prints the bound that package optimum computes for a recorded day.
 package main
 
 import (
@@ -20,7 +20,7 @@
 	Window time.Duration `help:"Length of a window." default:"20s"`
 }
 
-// Run reads the recording and solves.
+// Run reads the recording, solves the linear program and prints the bound.
 func (c *cli) Run() error {
 	d, _, err := replay.ReadDay(c.Dir)
 	if err != nil {
@@ -32,7 +32,7 @@
 		if gone < 0 {
 			gone = d.End
 		}
-		for w := range q.CPUs { // counted in full where it was up for a part of a window
+		for w := range q.CPUs { // a machine that was up for part of a window counts for the whole window
 			if at := time.Duration(w) * c.Window; m.Up >= 0 && m.Up < at+c.Window && gone > at {
 				q.CPUs[w] += d.Types[m.Pool.Type].Size.CPUs
 			}
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// meanRuns is how long tasks of each class ran that were done, on average.
+// meanRuns returns the mean run time of completed tasks by class.
 func meanRuns(d *replay.Day) map[string]time.Duration {
 	sum, n := map[string]time.Duration{}, map[string]time.Duration{}
 	for _, t := range d.Tasks {
--- a/internal/optimum/optimum.go
+++ b/internal/optimum/optimum.go
@@ -1,8 +1,7 @@
-// Package optimum works out, from recorded demand, the largest share of every class's jobs that any
-// scheduler could have begun in time on the machines that there were: a linear program over
-// classes, windows of arrival and windows of start, in which tasks are fluid, a job may be begun in
-// part, and no image is fetched. What it says no can't be done; what
-// it allows may be out of reach all the same.
+// Package optimum computes, from recorded demand, an upper bound on the share of every class's jobs that any
+// scheduler could have started in time on the machines that were available. It solves a linear program over
+// classes, arrival windows and start windows, in which tasks are divisible, a job may start in
+// part, and no image is fetched. No scheduler can exceed the bound, and the bound itself may not be reachable.
 package optimum
 
 import (
@@ -16,39 +15,40 @@
 	"gonum.org/v1/gonum/optimize/convex/lp"
 )
 
-// Job is one job's demand.
+// Job is the demand of one job.
 type Job struct {
 	Class string
-	At    time.Duration // of its submission
-	Tasks int           // that must start for it to begin
-	CPUs  float64       // of a task
-	Runs  time.Duration // a task
+	At    time.Duration // time of submission
+	Tasks int           // number of tasks that must start for the job to count as started
+	CPUs  float64       // CPUs of a task
+	Runs  time.Duration // run time of a task
 }
 
-// Question is what is asked.
+// Question is the input of the linear program.
 type Question struct {
 	Jobs   []Job
-	CPUs   []float64     // of the machines that were up, by window
+	CPUs   []float64     // CPUs of the machines that were up, by window
 	Window time.Duration // length of a window
-	Within time.Duration // of its submission a job must begin
-	First  []string      // classes that start before all others, as soon as there is room
+	Within time.Duration // time after its submission within which a job must start
+	First  []string      // classes that start before all others, as soon as capacity is free
 }
 
-// Answer is the largest share of jobs begun in time, the same for every class, and how many jobs
-// of each class there were.
+// Answer holds the largest share of jobs that can start in time, which is the same for every class, and the number of
+// jobs of each class. The classes in Question.First are not included.
 type Answer struct {
 	Share float64
 	Jobs  map[string]int
 }
 
-// group is the jobs of a class that arrived in one window and are of one size.
+// group is a set of equal jobs: those of the same class, size and run time that arrived in
+// the same window.
 type group struct {
 	Job
 	window int
 	jobs   int
 }
 
-// groups puts jobs together that are alike.
+// groups returns the jobs grouped by arrival window, class, size and run time.
 func (q Question) groups() (out []group) {
 	at := map[Job]int{}
 	for _, j := range q.Jobs {
@@ -65,7 +65,7 @@
 	return out
 }
 
-// withoutFirst takes the classes that go first out of the question, with the room that they take.
+// withoutFirst returns the question without the classes in First, and without the CPUs that their jobs occupy.
 func (q Question) withoutFirst() Question {
 	q.CPUs = slices.Clone(q.CPUs)
 	var first []Job
@@ -94,7 +94,7 @@
 	return q
 }
 
-// Solve answers a question.
+// Solve returns the bound for a question.
 func Solve(problem Question) (Answer, error) {
 	if problem.Window <= 0 || len(problem.CPUs) == 0 || len(problem.Jobs) == 0 {
 		return Answer{}, errors.New("bound: needs jobs, windows and machines")
@@ -115,8 +115,8 @@
 			columns = append(columns, column{g, w})
 		}
 	}
-	// Rows: CPUs by window, jobs by group, classes. Columns: shares of a group that start in a
-	// window, the share that is asked for, and a slack a row, which is where the method begins.
+	// The rows are CPUs by window, jobs by group, and classes. The columns are the shares of a group that start in a
+	// window, the share to maximise, and one slack variable per row. The slack variables are the initial basis.
 	rows := len(problem.CPUs) + len(groups) + len(classes)
 	share := len(columns)
 	a := mat.NewDense(rows, share+1+rows, nil)
@@ -127,7 +127,7 @@
 	}
 	for i, c := range columns {
 		g := groups[c.group]
-		left := max(1e-3, g.Runs.Seconds()/problem.Window.Seconds()) // windows that a task takes
+		left := max(1e-3, g.Runs.Seconds()/problem.Window.Seconds()) // run time of a task in windows
 		for w := c.window; w < len(problem.CPUs) && left > 0; w++ {
 			a.Set(w, i, float64(g.jobs*g.Tasks)*g.CPUs*min(1, left))
 			left--
--- a/internal/optimum/optimum_test.go
+++ b/internal/optimum/optimum_test.go
@@ -39,6 +39,6 @@
 		}
 	}
 	if _, err := Solve(Question{}); err == nil {
-		t.Error("nothing is asked, and answered")
+		t.Error("an empty question returns no error")
 	}
 }
