--- a/internal/lab/addresses_test.go
+++ b/internal/lab/addresses_test.go
@@ -10,15 +10,17 @@
 	"time"
 )
 
-// The addresses of a lab's controllers stay the lab's, also while a controller has not begun yet or has been killed.
+// TestAddressesStayReserved checks that no other program can take the address of a lab's controller before the
+// controller starts or after it was killed.
 //
-// A lab looked for free ports, gave them back, and had its controllers listen on them some time later. Beside other
-// labs they were other programs' by then: "listener: bind: address already in use", and the lab went on with one
-// controller of three, "down: berth-1, berth-2, berth-3" at last; "operators are not served; tried again" for a minute
-// after a controller was started again; "unknown service operators.Operators", from another lab's controller.
-// TestDrainScript failed on whatever it waited for next: of 22 at once beside eight busy loops, five logs had such
-// lines. An outgoing connection gets its port like the one here, by bind without SO_REUSEADDR.
-func TestAddressesAreKept(t *testing.T) {
+// A lab used to look for free ports, release them, and let its controllers listen on them later. With other labs on the
+// same machine, other programs had taken the ports by then. The logs had "listener: bind: address already in use" and
+// the lab continued with one controller of three, at last "down: berth-1, berth-2, berth-3"; or "operators are not
+// served; tried again" for a minute after a controller was restarted; or "unknown service operators.Operators" from
+// another lab's controller. TestDrainScript failed at whatever it waited for next: of 22 concurrent runs beside eight
+// busy loops, five logs had such lines. An outgoing connection gets its port like the one in this test, by bind without
+// SO_REUSEADDR.
+func TestAddressesStayReserved(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "scenario.sexp")
 	if err := os.WriteFile(path, []byte(DefaultScenario()), 0o600); err != nil {
@@ -28,7 +30,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// Its controllers end at once.
+	// The controllers run the program "false", which exits at once.
 	lab, err := Start(Options{Program: "false", Scenario: scenario, Speed: 1})
 	if err != nil {
 		t.Fatal(err)
@@ -52,7 +54,7 @@
 			_ = connection.Close()
 		}
 		if !errors.Is(err, syscall.EADDRINUSE) {
-			t.Errorf("a connection gets the port of %s: %v", addr, err)
+			t.Errorf("a connection could bind the reserved address %s: %v", addr, err)
 		}
 	}
 }
--- a/internal/lab/child_linux.go
+++ b/internal/lab/child_linux.go
@@ -2,8 +2,8 @@
 
 import "syscall"
 
-// ChildAttr has a process end with the one that started it, however that ends, and keeps the
-// terminal's Ctrl-C from it: the lab ends it in order.
+// ChildAttr returns the attributes of a child process. The kernel kills the child when its parent ends for any reason.
+// The child doesn't receive the terminal's Ctrl-C, because the lab shuts it down in order.
 func ChildAttr() *syscall.SysProcAttr {
 	return &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 }
--- a/internal/lab/child_other.go
+++ b/internal/lab/child_other.go
@@ -4,5 +4,6 @@
 
 import "syscall"
 
-// ChildAttr keeps the terminal's Ctrl-C from a controller: the lab ends it in order.
+// ChildAttr returns the attributes of a child process. The child doesn't receive the terminal's Ctrl-C, because the
+// lab shuts it down in order.
 func ChildAttr() *syscall.SysProcAttr { return &syscall.SysProcAttr{Setpgid: true} }
--- a/internal/lab/fault.go
+++ b/internal/lab/fault.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// Fault is something that a lab lets go wrong, or sets right again.
+// Fault is a fault that a lab injects, or the end of one.
 type Fault struct {
 	Op   string        `json:"op"`   // one of FaultOps
 	Name string        `json:"name"` // a controller or a machine
-	To   string        `json:"to"`   // of a cut: another controller, store, cloud, or nothing for all of them
-	For  time.Duration `json:"for"`  // of a machine that hangs or is recalled, and of a controller that stands still
+	To   string        `json:"to"`   // other end of a cut: a controller, "store" or "cloud"; empty for all of them
+	For  time.Duration `json:"for"`  // how long a machine hangs or a controller is frozen, or the notice of a recall
 }
 
-// FaultOps are the operations, and what each does.
+// FaultOps lists the operations with a description of each.
 var FaultOps = [][2]string{
 	{"kill", "end a controller at once"},
 	{"start", "start a controller that was killed"},
@@ -29,7 +29,7 @@
 	{"recall", "have the cloud take a machine away after a notice"},
 }
 
-// Fault carries a fault out.
+// Fault injects a fault.
 func (l *Lab) Fault(fault Fault) error {
 	switch fault.Op {
 	case "kill", "start", "freeze", "cut":
@@ -45,7 +45,7 @@
 	return fmt.Errorf("no fault %q", fault.Op)
 }
 
-// controllerFault carries out a fault of one controller.
+// controllerFault injects a fault of one controller.
 func (l *Lab) controllerFault(fault Fault) error {
 	i := slices.IndexFunc(l.nodes, func(controller *node) bool { return controller.name == fault.Name })
 	if i < 0 {
@@ -66,7 +66,7 @@
 	return l.cut(fault.Name, fault.To, true)
 }
 
-// kill ends a controller's process, and waits for its end.
+// kill kills a controller's process and waits until it has ended.
 func (l *Lab) kill(controller *node) error {
 	if !l.Up()[controller.name] {
 		return fmt.Errorf("%s does not run", controller.name)
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// freeze has a controller's process stand still for a time.
+// freeze stops a controller's process with SIGSTOP and continues it after a time.
 func freeze(controller *node, span time.Duration) error {
 	process := controller.cmd.Process
 	if err := process.Signal(syscall.SIGSTOP); err != nil {
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// machineFault carries out a fault of one machine.
+// machineFault injects a fault of one machine.
 func (l *Lab) machineFault(fault Fault) error {
 	span, happens := max(fault.For, time.Second), l.cloud.Hang
 	if fault.Op == "recall" {
@@ -100,8 +100,8 @@
 	return nil
 }
 
-// cut cuts or heals the links between a controller and another party, both ways; without
-// names it means all.
+// cut cuts or heals the links between a controller and another process, in both directions. An empty name stands for
+// all.
 func (l *Lab) cut(name, to string, on bool) error {
 	hit := false
 	for ends, k := range l.links {
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -19,17 +19,17 @@
 	"github.com/marlwood/marlwood/internal/standin"
 )
 
-// Controllers are the names of a lab's controllers.
+// Controllers holds the names of a lab's controllers.
 var Controllers = []string{"berth-1", "berth-2", "berth-3"}
 
-// Options say how a lab runs.
+// Options configures a lab.
 type Options struct {
-	Program   string    // that is run as marlwood
-	Scenario  *Scenario // what it plays
-	Speed     float64   // how much faster users and machines go
-	Operators []string  // addresses of the controllers for operators; of an address in use another is taken
-	Control   string    // address where faults are asked for
-	Log       io.Writer // what the controllers write
+	Program   string    // path of the marlwood program
+	Scenario  *Scenario // machine types, teams and jobs
+	Speed     float64   // factor by which users and machines are faster
+	Operators []string  // addresses of the controllers for operators; an address in use is replaced by another
+	Control   string    // address that accepts requests to inject faults
+	Log       io.Writer // output of the controllers
 }
 
 // The lab's protocol times, which --speed does not change.
@@ -39,16 +39,16 @@
 	cancelWait  = 24 * time.Second
 )
 
-// Lab is one that runs. Close ends it and removes all that it made.
+// Lab is a running lab. Close ends it and removes its files.
 type Lab struct {
 	opt   Options
 	dir   string
 	state *standin.State
 	cloud *standin.Cloud
 	users *users
-	links map[[2]string]*standin.Link // by who calls whom
+	links map[[2]string]*standin.Link // by caller and callee
 
-	reservations []*loopback.Reservation // of the addresses of controllers and of faults
+	reservations []*loopback.Reservation // addresses of the controllers and of fault injection
 	stop         context.CancelFunc
 	web          net.Listener
 
@@ -56,7 +56,7 @@
 	nodes []*node
 }
 
-// node is one controller.
+// node is one controller process.
 type node struct {
 	name, zone              string
 	listen, peer, operators string
@@ -64,10 +64,10 @@
 	ended                   chan struct{}
 }
 
-// reserveAddr reserves an address for the time of the lab: wanted if nobody listens there, or else any.
+// reserveAddr reserves an address for the lifetime of the lab: the wanted one if nobody listens there, or else any.
 //
-// Guard: addresses that were free and given back were other programs' before the controllers listened on them, or
-// while a controller was down (TestAddressesAreKept).
+// Guard: when the lab only looked for free addresses and released them, other programs took them before the controllers
+// listened on them, or while a controller was down (TestAddressesStayReserved).
 func (l *Lab) reserveAddr(wanted string) (string, error) {
 	reservation, err := reserveWanted(wanted)
 	if err != nil {
@@ -80,7 +80,7 @@
 	return reservation.Addr(), nil
 }
 
-// reserveWanted reserves an address of the loopback interface.
+// reserveWanted reserves a given address of the loopback interface.
 func reserveWanted(wanted string) (*loopback.Reservation, error) {
 	addr, err := net.ResolveTCPAddr("tcp4", wanted)
 	if err != nil {
@@ -145,8 +145,8 @@
 	return nil
 }
 
-// takes is how long a task of a job runs: as its kind says, give or take a quarter, the
-// same each time.
+// takes returns the run time of a task: the estimate of its job, varied by up to a quarter with a hash of the job id
+// and the task's index, so that it is the same at each call. The tasks of a gang run for exactly the estimate.
 func (l *Lab) takes(j *model.Job, index int) time.Duration {
 	h := uint32(index)*2654435761 + 1
 	for _, c := range []byte(j.ID) {
@@ -159,7 +159,7 @@
 	return time.Duration(float64(j.Estimate) * part / l.opt.Speed)
 }
 
-// link makes a link from a controller to an address, and returns its own.
+// link creates a link from a controller to an address, and returns the address of the link itself.
 func (l *Lab) link(from, to, addr string) (string, error) {
 	k, err := standin.NewLink("127.0.0.1:0", addr)
 	if err != nil {
@@ -169,7 +169,7 @@
 	return k.Addr().String(), nil
 }
 
-// configure writes a controller's files.
+// configure creates a controller's links and writes its configuration and settings files.
 func (l *Lab) configure(n *node) error {
 	type sibling struct {
 		Member   string `json:"member"`
@@ -235,7 +235,7 @@
 	return nil
 }
 
-// Up tells which controllers run.
+// Up reports which controllers run.
 func (l *Lab) Up() map[string]bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -251,7 +251,7 @@
 	return out
 }
 
-// Users are the addresses where users submit jobs.
+// Users returns the addresses where users submit jobs.
 func (l *Lab) Users() (out []string) {
 	for _, n := range l.nodes {
 		out = append(out, n.listen)
@@ -259,7 +259,7 @@
 	return out
 }
 
-// Operators are the addresses for operators.
+// Operators returns the addresses for operators.
 func (l *Lab) Operators() (out []string) {
 	for _, n := range l.nodes {
 		out = append(out, n.operators)
@@ -267,29 +267,28 @@
 	return out
 }
 
-// Control is the address where faults are asked for.
+// Control returns the address that accepts requests to inject faults.
 func (l *Lab) Control() string { return l.web.Addr().String() }
 
-// Broken lists the rules that were broken, as the machines themselves saw it.
+// Broken returns the violations of the protocol's rules that the simulated machines observed.
 func (l *Lab) Broken() []string { return l.cloud.Broken() }
 
-// Counts are what users and machines have seen: jobs submitted, accepted and done, tasks
-// started and running.
+// Counts returns the numbers of jobs and tasks as observed by users and machines.
 func (l *Lab) Counts() Counts {
 	c := l.users.counts()
 	c.Started, c.Running, c.Machines, c.WastedCPUTime = l.cloud.Started(), l.cloud.Running(), len(l.cloud.Machines()), l.cloud.WastedCPUTime()
 	return c
 }
 
-// Counts are what users and machines have seen.
+// Counts holds numbers of jobs as observed by users, and of tasks as observed by machines.
 type Counts struct {
 	Submitted, Accepted, Done, Cancelled int
 	Started, Running, Machines           int
-	WastedCPUTime                        time.Duration // CPU time of tasks that ended without being done or saved
+	WastedCPUTime                        time.Duration // CPU time of tasks that ended neither done nor checkpointed
 }
 
-// endWait is how long a controller gets to end by itself.
-const endWait = 3 * time.Second
+// shutdownTimeout is how long a controller may take to exit after SIGTERM.
+const shutdownTimeout = 3 * time.Second
 
 // Close ends the controllers and removes the lab's files.
 func (l *Lab) Close() {
@@ -304,7 +303,7 @@
 			_ = n.cmd.Process.Signal(syscall.SIGTERM)
 		}
 	}
-	late := time.After(endWait)
+	late := time.After(shutdownTimeout)
 	for _, n := range l.nodes {
 		if n.cmd == nil {
 			continue
@@ -334,7 +333,7 @@
 	}
 }
 
-// control listens for faults.
+// control serves requests to inject faults.
 func (l *Lab) control() error {
 	addr, err := l.reserveAddr(l.opt.Control)
 	if err != nil {
--- a/internal/lab/mixed/check.go
+++ b/internal/lab/mixed/check.go
@@ -23,13 +23,13 @@
 	Log string `placeholder:"FILE" help:"Where the controllers' logs go; without it nowhere."`
 }
 
-// stage is a distribution of the builds over the controllers.
+// stage is an assignment of the builds to the controllers.
 type stage struct {
 	name  string
 	isNew [3]bool // by controller
 }
 
-// stages begin and end with the old build alone, so that each build reads the other's data.
+// stages begin and end with the old build on all controllers, so that each build reads the other's data.
 var stages = []stage{
 	{"three old", [3]bool{}},
 	{"one new beside two old", [3]bool{true, false, false}},
@@ -39,7 +39,7 @@
 	{"three old again", [3]bool{}},
 }
 
-// Times that the check waits at most.
+// Timeouts and the poll interval of the check.
 const (
 	leaderWait = 90 * time.Second
 	jobWait    = 2 * time.Minute
@@ -55,7 +55,7 @@
 	jobs    int // submitted by the check itself
 }
 
-// scenario is what the lab plays.
+// scenario is the lab's scenario.
 const scenario = `(lab
   (zones "a" "b")
   (type "s4" (cpus 4) (memory-gb 16) (boot "300ms") (fetch-gb-per-s 4) (limit 8))
@@ -66,7 +66,7 @@
   (job "stays" (team "free") (shape "standing") (tasks 2) (cpus 1) (memory-gb 1) (takes "1h") (priority "high") (image "l") (image-gb 1) (spread)))
 `
 
-// Run plays all stages. Each controller leads once in each of them.
+// Run runs all stages. Each controller leads once in each of them.
 func (c *runCmd) Run() error {
 	dir, err := os.MkdirTemp("", "marlwood-mixed-")
 	if err != nil {
@@ -138,7 +138,7 @@
 	return os.WriteFile(programFile(c.dir, lab.Controllers[controller]), []byte(path), 0o600)
 }
 
-// play brings a stage's builds in, records it, and lets each controller lead once.
+// play restarts the controllers whose build changes in a stage, starts a recorder, and makes each controller lead once.
 func (c *check) play(number int, stage stage) error {
 	for i, name := range lab.Controllers {
 		if err := c.assign(i, stage); err != nil {
@@ -171,7 +171,7 @@
 
 func (c *check) fault(op, name string) error { return c.cluster.Fault(lab.Fault{Op: op, Name: name}) }
 
-// leadOnce has a controller become the leader, and operators and users use it.
+// leadOnce makes a controller the leader and sends it requests of operators and users.
 func (c *check) leadOnce(number, controller int, stage stage) error {
 	leader := lab.Controllers[controller]
 	others := slices.DeleteFunc(slices.Clone(lab.Controllers), func(name string) bool { return name == leader })
@@ -202,7 +202,8 @@
 	return nil
 }
 
-// command runs one of the builds as an operator does, and returns what it prints. The build changes with every leader.
+// command runs an operator's command of one of the builds and returns its output. Callers alternate the build from
+// leader to leader.
 func (c *check) command(isNew bool, arguments ...string) (string, error) {
 	program := c.Old
 	if isNew {
@@ -219,7 +220,7 @@
 	return string(out), nil
 }
 
-// record starts the recorder of the build that most controllers run. The function that it returns ends it.
+// record starts the recorder of the build that most controllers run, and returns a function that stops it.
 func (c *check) record(number int, dir string) (end func() error, err error) {
 	program := c.Old
 	if count(stages[number].isNew) > 1 {
@@ -255,7 +256,8 @@
 	return n
 }
 
-// verifyRecording has both builds read a recording, and replays it with those that have a replay program.
+// verifyRecording checks that both builds can read a recording, and replays it with each build that has a replay
+// program.
 func (c *check) verifyRecording(stage stage, dir string) error {
 	for _, program := range []string{c.Old, c.New} {
 		if err := readsWhole(program, dir); err != nil {
@@ -279,8 +281,8 @@
 	missingFrames  = regexp.MustCompile(`(?m)^missing: .*, frames (\d+) to`)
 )
 
-// readsWhole has a build read a recording. The first frames of a term are missing if the recorder came later than the
-// leader; nothing else may be.
+// readsWhole checks that a build can read a recording. The first frames of a term may be missing, because the recorder
+// may have connected after the leader started; any other gap is an error.
 func readsWhole(program, dir string) error {
 	out, err := exec.Command(program, "record", "verify", dir).CombinedOutput()
 	if err == nil {
--- a/internal/lab/mixed/main.go
+++ b/internal/lab/mixed/main.go
@@ -1,10 +1,10 @@
-// Command mixed checks that two builds of marlwood work together: a lab of three controllers runs on them in
-// turns. The old build writes the stored data; the new one reads it, leads beside old controllers, follows them, and
-// hands the data back. It builds nothing:
+// Command mixed checks that two builds of marlwood work together: a lab of three controllers runs on
+// different mixes of them in turn. The old build writes the stored data; the new one reads it, leads beside old
+// controllers, follows them, and hands the data back. It builds nothing:
 //
 //	go run ./internal/lab/mixed --old PROGRAM --new PROGRAM
 //
-// With PROGRAM-replay beside a program, recordings are replayed as well.
+// If a file PROGRAM-replay exists beside a program, recordings are replayed as well.
 package main
 
 import (
@@ -35,13 +35,13 @@
 	}
 }
 
-// serveCmd takes the place of "marlwood serve" in the lab.
+// serveCmd replaces "marlwood serve" in the lab.
 type serveCmd struct {
 	Config   string `required:""`
 	Settings string `required:""`
 }
 
-// Run replaces this process by the build that programFile names, with usage accounting switched on.
+// Run replaces this process by the build named in the controller's programFile, with usage accounting switched on.
 func (c *serveCmd) Run() error {
 	dir := os.Getenv(dirVariable)
 	text, err := os.ReadFile(c.Config)
@@ -84,8 +84,8 @@
 	return out, os.WriteFile(out, []byte(list+"\n  (accounts (keep \"yes\") (flush \"2s\")))\n"), 0o600)
 }
 
-// programFile names the file that holds the path of the build a controller runs.
+// programFile returns the path of the file that holds the path of the build a controller runs.
 func programFile(dir, member string) string { return filepath.Join(dir, member+".program") }
 
-// peerFile names the file that holds the address a controller listens on for the other controllers.
+// peerFile returns the path of the file that holds the address a controller listens on for the other controllers.
 func peerFile(dir, member string) string { return filepath.Join(dir, member+".peer") }
--- a/internal/lab/mixed/use.go
+++ b/internal/lab/mixed/use.go
@@ -16,7 +16,7 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// use does what users and operators do while a controller leads, with the commands of both builds.
+// use sends the requests of users and operators while a controller leads, with the commands of both builds.
 func (c *check) use(number, controller int) error {
 	c.jobs += 2
 	runs, stays := fmt.Sprintf("own-%d-%d", number, controller), fmt.Sprintf("cancelled-%d-%d", number, controller)
@@ -39,12 +39,12 @@
 	return c.awaitStage(runs, model.Done, "")
 }
 
-// drain drains a zone with one build's command and takes that back with the other's.
+// drain drains a zone with one build's command and undrains it with the other's.
 func (c *check) drain(isNew bool) error {
 	if err := c.retry(func() error {
 		_, err := c.command(isNew, "drain", "--zone", "b", "--force", "--deadline", "1s", "--reason", "mixed builds")
 		if err != nil && strings.Contains(err.Error(), "is drained since") {
-			return nil // an attempt before was executed
+			return nil // an earlier attempt was executed
 		}
 		return err
 	}); err != nil {
@@ -62,7 +62,8 @@
 	})
 }
 
-// reload puts new settings in force, and looks for them and for the ones before in the other build's answers.
+// reload applies new settings with one build's command. The other build's command must then show this reload and the
+// first one in the history of settings.
 func (c *check) reload(number, controller int, isNew bool) error {
 	reason := fmt.Sprintf("reload %d-%d", number, controller)
 	path := filepath.Join(c.dir, "reload.sexp")
@@ -83,7 +84,7 @@
 	return c.shows(!isNew, "bounded", "teams")
 }
 
-// shows runs an operator's command, which must print a text.
+// shows runs an operator's command and returns an error unless its output contains a text.
 func (c *check) shows(isNew bool, text string, arguments ...string) error {
 	out, err := c.command(isNew, arguments...)
 	if err == nil && !strings.Contains(out, text) {
@@ -92,7 +93,7 @@
 	return err
 }
 
-// retry repeats an operator's request until it is granted: it may be refused while a controller starts.
+// retry repeats a request until it succeeds or leaderWait is over, because controllers may refuse it while they start.
 func (c *check) retry(do func() error) error {
 	var err error
 	for end := time.Now().Add(leaderWait); time.Now().Before(end); time.Sleep(pollEvery) {
@@ -152,7 +153,8 @@
 	})
 }
 
-// awaitStage asks all controllers in turn about a job, or requests its cancellation, until it is in a stage.
+// awaitStage repeats a request about a job until a controller answers that the job is in the wanted stage. action is
+// "/cancel" to request its cancellation, or empty to query its stage.
 func (c *check) awaitStage(id string, want model.Stage, action string) error {
 	method := http.MethodGet
 	if action != "" {
@@ -172,7 +174,7 @@
 // client is the users' HTTP client.
 var client = &http.Client{Timeout: 5 * time.Second}
 
-// request sends a user's request to one controller after the other until one answers.
+// request sends a user's request to each controller in turn until one answers with a status below 500.
 func (c *check) request(method, path string, body []byte) (status int, stage string, err error) {
 	for _, addr := range c.cluster.Users() {
 		status, stage, err = requestFrom(method, "http://"+addr+path, body)
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -1,5 +1,5 @@
-// Package lab runs marlwood on one machine to try it out: three controllers as processes
-// of their own, stand-ins for what is round them, and users who submit jobs.
+// Package lab runs marlwood on one machine to try it out: three controllers as separate processes,
+// simulated external services, and simulated users who submit jobs.
 package lab
 
 import (
@@ -18,7 +18,7 @@
 //go:embed default.sexp
 var defaultScenario []byte
 
-// Scenario is what a lab plays.
+// Scenario describes the zones, machine types, teams and jobs of a lab.
 type Scenario struct {
 	Zones []string `sexp:"zones"`
 	Types []Type   `sexp:"type"`
@@ -26,7 +26,7 @@
 	Jobs  []Job    `sexp:"job"`
 }
 
-// Type is a type of machines.
+// Type is a machine type.
 type Type struct {
 	Name        string        `sexp:"name"`
 	CPUs        float64       `sexp:"cpus"`
@@ -36,31 +36,31 @@
 	SpotPrice   float64       `sexp:"spot-price"`
 	Boot        time.Duration `sexp:"boot"`
 	FetchGBPerS float64       `sexp:"fetch-gb-per-s"`
-	Limit       int           `sexp:"limit"` // machines in a zone
+	Limit       int           `sexp:"limit"` // most machines in a zone, for ordinary and spot machines each
 }
 
-// Team is a team and what it may use, in CPUs.
+// Team is a team with its guarantee and its limit, in CPUs.
 type Team struct {
 	Name      string  `sexp:"name"`
 	Guarantee float64 `sexp:"guarantee"`
 	Limit     float64 `sexp:"limit"`
 }
 
-// Job is a kind of jobs that comes again and again.
+// Job is a kind of job that users submit repeatedly.
 type Job struct {
 	Name     string        `sexp:"name"`
-	Every    time.Duration `sexp:"every"` // on average; 0: it comes once, with its name as its id
+	Every    time.Duration `sexp:"every"` // mean interval between submissions; 0: submitted once, with Name as the job id
 	Team     string        `sexp:"team"`
 	Shape    string        `sexp:"shape" oneof:"batch gang standing"`
 	Tasks    int           `sexp:"tasks"`
 	CPUs     float64       `sexp:"cpus"`
 	GPUs     float64       `sexp:"gpus"`
 	MemoryGB float64       `sexp:"memory-gb"`
-	Takes    time.Duration `sexp:"takes"` // a task; of a service, until its user cancels it
+	Takes    time.Duration `sexp:"takes"` // run time of a task; for a service, the time until its user cancels it
 	Priority string        `sexp:"priority" oneof:"critical high normal low"`
 	Image    string        `sexp:"image"`
 	ImageGB  float64       `sexp:"image-gb"`
-	Saves    time.Duration `sexp:"saves"` // what saving costs; without it nothing is saved
+	Saves    time.Duration `sexp:"saves"` // time that a checkpoint takes; 0: no checkpoints
 	Due      time.Duration `sexp:"due"`
 	Zone     string        `sexp:"zone"`
 	Types    []string      `sexp:"types"`
@@ -68,10 +68,10 @@
 	Spread   bool          `sexp:"spread"`
 	Spot     bool          `sexp:"spot"`
 	Fails    bool          `sexp:"fails"`  // every task ends with an error
-	Awaits   []string      `sexp:"awaits"` // ids of jobs that must be done before
+	Awaits   []string      `sexp:"awaits"` // ids of jobs that must be done before this one starts
 }
 
-// LoadScenario reads a scenario; without a path the one that is built in.
+// LoadScenario reads a scenario from a file, or returns the built-in one if path is empty.
 func LoadScenario(path string) (*Scenario, error) {
 	text := defaultScenario
 	if path != "" {
@@ -118,7 +118,7 @@
 	return nil
 }
 
-// body is a submission of a kind of jobs.
+// body returns the body of a request that submits a job.
 func (s *Scenario) body(j Job, id string) []byte {
 	every := 0.0
 	if j.Saves > 0 {
@@ -143,16 +143,16 @@
 	if len(j.Types) > 0 {
 		m["hulls"] = j.Types
 	}
-	text, _ := json.Marshal(m) // numbers and texts only
+	text, _ := json.Marshal(m) // can't fail: m holds only encodable values
 	return text
 }
 
-// fails tells whether a job's tasks end with an error.
+// fails reports whether a job's tasks end with an error.
 func (s *Scenario) fails(j *model.Job) bool {
 	return slices.ContainsFunc(s.Jobs, func(k Job) bool { return k.Name == j.Class && k.Fails })
 }
 
-// machineTypes are the types as the cloud offers them.
+// machineTypes returns the machine types in the form that the simulated cloud uses.
 func (s *Scenario) machineTypes() (out []*standin.Type) {
 	for _, t := range s.Types {
 		out = append(out, &standin.Type{Name: t.Name, Size: model.Size{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}, CacheGB: 100,
@@ -161,5 +161,5 @@
 	return out
 }
 
-// DefaultScenario is the text of the one that is built in.
+// DefaultScenario returns the text of the built-in scenario.
 func DefaultScenario() string { return string(defaultScenario) }
--- a/internal/lab/users.go
+++ b/internal/lab/users.go
@@ -14,7 +14,7 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// users submit jobs, ask about them and cancel services, as the protocol says.
+// users simulates the users: it submits jobs, polls their stage and cancels services, as the protocol specifies.
 type users struct {
 	scenario *Scenario
 	addrs    []string
@@ -23,17 +23,17 @@
 
 	mu   sync.Mutex
 	seen Counts
-	next int // of the ids
+	next int // number of the last job id
 }
 
-// Times of the protocol.
+// Times of the users' protocol.
 const (
 	pollEvery  = 5 * time.Second
 	retryWait  = time.Second
 	submitWait = time.Minute
 )
 
-// maxOpen bounds the jobs that users wait for: more are not submitted.
+// maxOpen limits the unfinished jobs. While there are that many, no more are submitted.
 const maxOpen = 500
 
 func newUsers(s *Scenario, addrs []string, speed float64) *users {
@@ -46,7 +46,7 @@
 	return u.seen
 }
 
-// run submits until ctx ends.
+// run submits jobs of all kinds until ctx ends. It doesn't block.
 func (u *users) run(ctx context.Context) {
 	for _, j := range u.scenario.Jobs {
 		go func() {
@@ -84,14 +84,14 @@
 	add(&u.seen)
 }
 
-// follow submits a job and asks about it until it is over.
+// follow submits a job and polls its stage until it is done or cancelled.
 func (u *users) follow(ctx context.Context, j Job, id string) {
 	u.count(func(c *Counts) { c.Submitted++ })
 	body, accepted := u.scenario.body(j, id), false
 	for end := time.Now().Add(submitWait); !accepted && time.Now().Before(end) && ctx.Err() == nil; {
 		status, _ := u.ask(ctx, "POST", "/api/jobs", body)
 		if accepted = status == 200 || status == 201; !accepted {
-			if status == 400 || (status == 422 && len(j.Awaits) == 0) { // what it waits for may not be there yet
+			if status == 400 || (status == 422 && len(j.Awaits) == 0) { // a job that it awaits may not have been submitted yet
 				break
 			}
 			pause(ctx, retryWait)
@@ -120,7 +120,7 @@
 	}
 }
 
-// ask asks any controller.
+// ask sends a request to a random controller. A status of 0 means that there was no response.
 func (u *users) ask(ctx context.Context, method, path string, body []byte) (status int, stage string) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+u.addrs[rand.IntN(len(u.addrs))]+path, bytes.NewReader(body))
 	if err != nil {
