--- a/internal/scale/capacity.go
+++ b/internal/scale/capacity.go
@@ -7,18 +7,19 @@
 	"github.com/prometheus/procfs"
 )
 
-// What a run takes, by a generous estimate of measured runs.
+// Resources that a run needs: generous estimates from measured runs.
 const (
-	filesPerMachine  = 4       // of a region's process: listener, report, direct calls, one that closes
-	filesBesides     = 2000    // its controllers' and users' connections
-	bytesPerMachine  = 1 << 20 // hollow worker, its tasks, and their part of the controllers
-	bytesPerProcess  = 200 << 20
-	processesAtOnce  = regionsPlanned * (1 + controllersEach)
-	kilobyte         = 1024
-	memoryShareTaken = 2 // a run stays under one part of so many of the machine's memory
+	filesPerMachine = 4       // files of a region's process: listener, heartbeat, direct calls, a closing connection
+	filesBesides    = 2000    // connections of the region's controllers and users
+	bytesPerMachine = 1 << 20 // hollow worker, its tasks, and their share of the controllers' memory
+	bytesPerProcess = 200 << 20
+	processesAtOnce = regionsPlanned * (1 + controllersEach)
+	kilobyte        = 1024
+	memoryDivisor   = 2 // a run uses at most the machine's memory divided by this
 )
 
-// checkCapacity tells whether the machine has the files and the memory for a run, before anything starts.
+// checkCapacity returns an error if the machine lacks the open files or the memory for a run. It is called before any
+// process starts.
 func (o Options) checkCapacity() error {
 	machines := int(plannedMachines * o.Share)
 	var files syscall.Rlimit
@@ -38,7 +39,7 @@
 	return nil
 }
 
-// memoryBound is how much memory a run may take, in bytes.
+// memoryBound returns the most memory that a run may use, in bytes.
 func memoryBound() (uint64, error) {
 	fs, err := procfs.NewDefaultFS()
 	if err != nil {
@@ -48,5 +49,5 @@
 	if err != nil || info.MemTotal == nil {
 		return 0, fmt.Errorf("scale: memory of the machine: %w", err)
 	}
-	return *info.MemTotal * kilobyte / memoryShareTaken, nil
+	return *info.MemTotal * kilobyte / memoryDivisor, nil
 }
--- a/internal/scale/cmd/main.go
+++ b/internal/scale/cmd/main.go
@@ -1,5 +1,5 @@
-// Command cmd plays the planned size, or a share of it, on this machine: real controllers over
-// loopback among hollow workers. It builds nothing: --program names the built marlwood.
+// Command cmd runs a load test of the planned size, or a share of it, on this machine, with real controllers and hollow
+// workers that communicate over loopback. It builds nothing: --program names the built marlwood.
 package main
 
 import (
@@ -49,10 +49,10 @@
 
 type regionCmd struct{}
 
-// Run serves a region until standard input ends.
+// Run simulates a region's external systems until the run is over or standard input ends.
 func (regionCmd) Run() error { return scale.ServeRegion(context.Background(), os.Stdin, os.Stdout) }
 
-// Run plays a run.
+// Run executes a run, prints its report and writes it to the directory given by --out.
 func (c *runCmd) Run() error {
 	o, err := c.options()
 	if err != nil {
@@ -106,7 +106,7 @@
 	return o, nil
 }
 
-// readCut reads --cut-region.
+// readCut parses --cut-region.
 func (c *runCmd) readCut(o *scale.Options) (err error) {
 	if c.CutRegion == "" {
 		return nil
--- a/internal/scale/links.go
+++ b/internal/scale/links.go
@@ -9,13 +9,13 @@
 	"github.com/marlwood/marlwood/internal/standin"
 )
 
-// regionLink goes from one region to a controller of another.
+// regionLink is a link from one region to a controller of another.
 type regionLink struct {
 	*standin.Link
 	from, to string
 }
 
-// linkRegion makes a region's links to the others and writes its controllers' settings.
+// linkRegion creates a region's links to the others and writes its controllers' settings.
 func (r *run) linkRegion(g *regionRun) error {
 	var others []string
 	for _, o := range r.regions {
@@ -47,7 +47,7 @@
 	return os.WriteFile(g.settings, []byte(text), 0o600)
 }
 
-// cutRegion cuts the links of a region from and to the others while its time lasts.
+// cutRegion cuts the links between CutRegion and the other regions from CutAt for CutFor, and heals them afterwards.
 func (r *run) cutRegion() {
 	if r.opt.CutRegion == "" {
 		return
@@ -61,24 +61,25 @@
 	}
 }
 
-// useOfAll sums what teams use in all regions at the same moments.
-type useOfAll struct {
+// globalUsage sums the CPUs that teams use in all regions at the same times, and checks the sums against the
+// teams' limits.
+type globalUsage struct {
 	limits  map[string]float64
-	regions map[int64]int // that have told of a moment
+	regions map[int64]int // number of regions that reported a sample, by its time
 	used    map[int64]map[string]float64
 	broken  []string
 }
 
-func newUseOfAll(p Plan) *useOfAll {
-	u := &useOfAll{limits: map[string]float64{}, regions: map[int64]int{}, used: map[int64]map[string]float64{}}
+func newGlobalUsage(p Plan) *globalUsage {
+	u := &globalUsage{limits: map[string]float64{}, regions: map[int64]int{}, used: map[int64]map[string]float64{}}
 	for _, t := range p.Teams {
 		u.limits[t.Name] = t.Limit
 	}
 	return u
 }
 
-// add takes in what a region told, and looks at each moment that all have told of.
-func (u *useOfAll) add(samples []UseSample) {
+// add adds a region's samples, and checks the limits for each time of which all regions have reported a sample.
+func (u *globalUsage) add(samples []UseSample) {
 	for _, s := range samples {
 		if u.used[s.AtMS] == nil {
 			u.used[s.AtMS] = map[string]float64{}
--- a/internal/scale/load.go
+++ b/internal/scale/load.go
@@ -16,7 +16,7 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// Times of users, from the protocol.
+// Times of the users' protocol.
 const (
 	answerWait = 5 * time.Second
 	retryWait  = time.Second
@@ -24,7 +24,7 @@
 	pollEvery  = 5 * time.Second
 )
 
-// submission is a job as a user sends it.
+// submission is a job that a user submits.
 type submission struct {
 	id       string
 	class    string
@@ -34,19 +34,19 @@
 	tasks    int
 	cpus     float64
 	estimate time.Duration
-	cancel   time.Duration // after which its user cancels it; 0: never
-	early    bool          // submitted while the machines are yet to come; its wait does not count
+	cancel   time.Duration // time after which its user cancels it; 0: never
+	early    bool          // submitted during the ramp-up of machines; its wait is not counted
 }
 
 func (s submission) body() []byte {
 	text, _ := json.Marshal(map[string]any{"nameId": s.id, "docket": s.class, "crew": s.team, "shape": s.shape, "rank": s.rank,
 		"pieces": s.tasks, "cpus": s.cpus, "cards": 0.0, "memoryGb": 2 * s.cpus, "kit": "img-" + s.class, "sizeGb": 0.2,
 		"together": false, "apart": false, "loaners": false, "guessS": s.estimate.Seconds(),
-		"snapshotEveryS": 0.0, "snapshotCostS": 0.0}) // numbers and texts only
+		"snapshotEveryS": 0.0, "snapshotCostS": 0.0}) // can't fail: the map holds only encodable values
 	return text
 }
 
-// users submit jobs, ask about them and cancel some.
+// users simulates the users of a region: it submits jobs, polls their stage and cancels some.
 type users struct {
 	plan   Plan
 	addrs  []string
@@ -58,28 +58,28 @@
 	rand     *rand.Rand
 	next     int
 	counts   UserCounts
-	urgent   *hdrhistogram.Histogram // from submission to running, in microseconds
+	urgent   *hdrhistogram.Histogram // time from submission to running, in microseconds
 	ordinary *hdrhistogram.Histogram
 }
 
-// UserCounts are jobs as their users saw them.
+// UserCounts holds numbers of jobs as observed by their users.
 type UserCounts struct{ Submitted, Accepted, Refused, Done, Cancelled int }
 
 // Bounds of the histograms of waits, in microseconds.
 const (
-	leastWait = 100
-	mostWait  = 600_000_000
-	digits    = 3
+	minWait = 100
+	maxWait = 600_000_000
+	digits  = 3
 )
 
 func newUsers(p Plan, addrs []string, t *truth) *users {
 	return &users{plan: p, addrs: addrs, truth: t, began: time.Now(),
 		client: &http.Client{Timeout: answerWait, Transport: &http.Transport{MaxIdleConnsPerHost: 64}},
 		rand:   rand.New(rand.NewPCG(p.Seed, 1)),
-		urgent: hdrhistogram.New(leastWait, mostWait, digits), ordinary: hdrhistogram.New(leastWait, mostWait, digits)}
+		urgent: hdrhistogram.New(minWait, maxWait, digits), ordinary: hdrhistogram.New(minWait, maxWait, digits)}
 }
 
-// run submits until ctx ends.
+// run submits jobs of all classes until ctx ends. It doesn't block.
 func (u *users) run(ctx context.Context) {
 	for range (u.plan.Long + longTasks - 1) / longTasks {
 		go u.follow(ctx, u.draw("long"))
@@ -90,7 +90,7 @@
 	go u.arrive(ctx, "service", func() float64 { return u.plan.Gangs })
 }
 
-// starts is how many short tasks a second are to start now.
+// starts returns the current target rate of starts of short tasks, per second.
 func (u *users) starts() float64 {
 	at := time.Since(u.began)
 	if at >= u.plan.PeakFrom && at < u.plan.PeakTo {
@@ -99,7 +99,7 @@
 	return u.plan.Starts
 }
 
-// arrive submits jobs of a class at a rate in jobs a second.
+// arrive submits jobs of a class at a rate in jobs per second, until ctx ends.
 func (u *users) arrive(ctx context.Context, class string, rate func() float64) {
 	for ctx.Err() == nil {
 		u.mu.Lock()
@@ -123,7 +123,7 @@
 	}
 }
 
-// draw makes the next job of a class.
+// draw generates the next job of a class.
 func (u *users) draw(class string) submission {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -145,7 +145,7 @@
 	return s
 }
 
-// follow submits a job and asks about it until it is over.
+// follow submits a job and polls its stage until it is done or cancelled.
 func (u *users) follow(ctx context.Context, s submission) {
 	u.count(func(c *UserCounts) { c.Submitted++ })
 	first := time.Now()
@@ -182,7 +182,7 @@
 	}
 }
 
-// countWait takes in how long a job's first task waited, once it runs.
+// countWait records how long a job's first task waited. It reports whether that task has started.
 func (u *users) countWait(s submission) bool {
 	wait := u.truth.began(s.id)
 	if wait == 0 {
@@ -197,7 +197,7 @@
 	if s.class == "urgent" {
 		into = u.urgent
 	}
-	_ = into.RecordValue(min(max(wait.Microseconds(), leastWait), mostWait)) // within its bounds
+	_ = into.RecordValue(min(max(wait.Microseconds(), minWait), maxWait)) // can't fail: the value is clamped to the bounds
 	return true
 }
 
@@ -207,7 +207,7 @@
 	add(&u.counts)
 }
 
-// ask asks any controller of the region; status 0: there was no answer.
+// ask sends a request to a random controller of the region. A status of 0 means that there was no valid answer.
 func (u *users) ask(ctx context.Context, method, path string, body []byte) (status int, stage model.Stage) {
 	addr := u.addrs[rand.IntN(len(u.addrs))]
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, bytes.NewReader(body))
--- a/internal/scale/platform.go
+++ b/internal/scale/platform.go
@@ -5,7 +5,7 @@
 	"os"
 )
 
-// What a controller and its region's services have: the figures of the larger deployments.
+// Limits of a controller and of its region's services: the figures of the larger deployments.
 const (
 	memoryMB  = 322
 	sockets   = 3207
@@ -20,7 +20,7 @@
 	clockMS   = 1000
 )
 
-// Types of the platform's file.
+// Types of the platform's configuration file.
 type (
 	platformFile struct {
 		Member     string         `json:"member"`
@@ -64,7 +64,7 @@
 	}
 )
 
-// writePlatform writes the platform's file of a controller.
+// writePlatform writes the platform's configuration file of a controller.
 func writePlatform(path string, g *regionRun, c *controller) error {
 	f := platformFile{Member: c.name, Location: c.zone, Listen: c.listen, PeerListen: c.peer, Siblings: []siblingEntry{},
 		Endpoints: endpoints{Cloud: g.addrs.Cloud, State: g.addrs.State}}
--- a/internal/scale/plot.go
+++ b/internal/scale/plot.go
@@ -7,7 +7,7 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Plot draws starts a second, and hundreds of tasks and tens of machines at once, over time.
+// Plot draws, over time, the starts per second, the running tasks in hundreds, and the machines in tens.
 func (r *Report) Plot(path string) error {
 	p := plot.New()
 	p.X.Label.Text = "seconds"
--- a/internal/scale/region.go
+++ b/internal/scale/region.go
@@ -17,49 +17,49 @@
 	"github.com/marlwood/marlwood/internal/standin"
 )
 
-// RegionConfig is what a region's process is told first, as one line of JSON.
+// RegionConfig is the first message to a region's process, as one line of JSON.
 type RegionConfig struct {
 	Plan  Plan
 	Nodes map[string]string // addresses of the region's controllers, by name
 }
 
-// Addresses is what a region's process answers that with.
+// Addresses is the region process's answer to RegionConfig.
 type Addresses struct{ State, Cloud string }
 
-// Command is what a region's process is told later, one a line.
+// Command is each later message to a region's process, one per line.
 type Command struct {
-	Start bool // users begin
-	Fail  int  // so many machines stop
+	Start bool // start the users
+	Fail  int  // number of machines to fail
 }
 
-// Snapshot is what a region's process tells every second.
+// Snapshot is the message that a region's process sends every second.
 type Snapshot struct {
-	At        time.Duration // since users began
+	At        time.Duration // since the users started
 	Leader    string
 	Started   int
 	Running   int
 	Machines  int
-	Requests  int64 // to the state service so far
+	Requests  int64 // requests to the state service so far
 	Writes    int64
 	Users     UserCounts
-	LongestMS int64 // without any start, so far
-	Killed    int   // tasks that ended with their machine's lease
+	LongestMS int64 // longest time without a task start so far
+	Killed    int   // number of tasks that ended because their machine's lease expired
 	Samples   []UseSample
 	Broken    []string
-	Final     *Final // with the last one
+	Final     *Final // set in the last snapshot only
 }
 
-// Final is what is told at the end.
+// Final holds the results that are reported only at the end.
 type Final struct {
-	Urgent, Ordinary *hdrhistogram.Snapshot // in microseconds
+	Urgent, Ordinary *hdrhistogram.Snapshot // waits in microseconds
 	Workers          []WorkerRate
 }
 
-// WorkerRate is what one worker's traffic comes to, a second.
+// WorkerRate is one worker's traffic per second: bytes sent, bytes received and requests.
 type WorkerRate struct{ Sent, Received, Requests float64 }
 
-// ServeRegion plays a region's outside systems: it reads a RegionConfig and then Commands from in,
-// and tells Addresses and then Snapshots on out. It ends with the plan's length, with in, or with ctx.
+// ServeRegion simulates a region's external systems. It reads a RegionConfig and then Commands from in,
+// and writes Addresses and then Snapshots to out. It returns after the plan's length, or when in or ctx ends.
 func ServeRegion(ctx context.Context, in io.Reader, out io.Writer) error {
 	lines := bufio.NewScanner(in)
 	lines.Buffer(nil, 1<<20)
@@ -80,7 +80,7 @@
 	defer cancel()
 	commands := make(chan Command)
 	go func() {
-		defer cancel() // the run has ended
+		defer cancel() // in was closed, so the run has ended
 		for lines.Scan() {
 			var c Command
 			if json.Unmarshal(lines.Bytes(), &c) == nil {
@@ -91,7 +91,7 @@
 	return r.serve(ctx, commands, tell)
 }
 
-// region is one region's outside systems.
+// region is the simulation of one region's external systems.
 type region struct {
 	plan  Plan
 	state *standin.State
@@ -99,15 +99,16 @@
 	truth *truth
 	users *users
 	nodes map[string]string
-	from  map[string]standin.Counts // of workers' traffic, when counting began
-	since time.Time
+	from  map[string]standin.Counts // workers' traffic at the start of the measurement, by machine
+	since time.Time                 // start of the measurement
 }
 
 func newRegion(cfg RegionConfig) *region {
 	r := &region{plan: cfg.Plan, state: standin.NewState(), truth: newTruth(cfg.Plan), nodes: cfg.Nodes}
 	r.cloud = standin.NewCloud(standin.Options{Nodes: cfg.Nodes, Types: cfg.Plan.standinTypes(), Lease: leaseLength, Report: reportEvery,
 		Soon: 500 * time.Millisecond, Jobs: r.state.Job, Callable: true, Observe: r.truth.observe,
-		Takes: func(j *model.Job, index int) time.Duration { // give or take a quarter
+		// The estimate, varied by up to a quarter; for a gang, exactly the estimate.
+		Takes: func(j *model.Job, index int) time.Duration {
 			if j.Shape == model.Gang {
 				return j.Estimate
 			}
@@ -122,7 +123,7 @@
 	r.state.Close()
 }
 
-// serve plays until the plan's length is over.
+// serve executes commands and sends a snapshot every second until the plan's length is over.
 func (r *region) serve(ctx context.Context, commands <-chan Command, tell *json.Encoder) error {
 	second := time.NewTicker(time.Second)
 	defer second.Stop()
@@ -155,12 +156,12 @@
 	}
 }
 
-// beginWithin is how long the controllers may take to be ready.
-const beginWithin = time.Minute
+// readyTimeout is how long the controllers may take to be ready.
+const readyTimeout = time.Minute
 
-// begin has users begin, once the controllers answer.
+// begin starts the users once all controllers are ready.
 func (r *region) begin(ctx context.Context) error {
-	ready, cancel := context.WithTimeout(ctx, beginWithin)
+	ready, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	var addrs []string
 	for _, a := range r.nodes {
@@ -186,7 +187,7 @@
 	return nil
 }
 
-// sampleUse notes what teams use, at moments that are the same in all regions.
+// sampleUse samples the CPUs that teams use, at times that are the same in all regions.
 func (r *region) sampleUse(ctx context.Context) {
 	for {
 		now := time.Now()
@@ -216,7 +217,7 @@
 	r.users.mu.Lock()
 	s.Users = r.users.counts
 	r.users.mu.Unlock()
-	if r.from == nil && s.At > r.plan.Length/2 { // machines are up
+	if r.from == nil && s.At > r.plan.Length/2 { // the machines are up
 		r.from, r.since = r.cloud.Traffic(), now
 	}
 	if s.At >= r.plan.Length {
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -11,16 +11,16 @@
 	"github.com/prometheus/procfs"
 )
 
-// Sample is what a controller's process took in one second.
+// Sample is the resource usage of a controller's process at one time. It is taken every second.
 type Sample struct {
-	At      time.Duration // since users began in its region
+	At      time.Duration // since the users started in its region
 	CPU     float64       // processor time so far, in seconds
-	Memory  int           // resident, in bytes
-	Files   int           // open, sockets mostly
+	Memory  int           // resident memory in bytes
+	Files   int           // open files, mostly sockets
 	Leading bool
 }
 
-// Report is what a run came to. Rates are a second.
+// Report is the result of a run. Rates are per second.
 type Report struct {
 	Share        float64
 	For          time.Duration
@@ -32,33 +32,33 @@
 	WorkerHeard  Spread
 	WorkerAsked  Spread
 	Controllers  []ControllerReport
-	StateAsked   Rate // of all regions together
+	StateAsked   Rate // requests, over all regions together
 	StateWrote   Rate
 	Urgent       Waits
 	Ordinary     Waits
-	Killed       int       // tasks that ended with their machine's lease
-	CutStarts    []float64 // starts a second in a region that was cut off, second by second
-	LongestMS    int64     // without any start in a region
+	Killed       int       // number of tasks that ended because their machine's lease expired
+	CutStarts    []float64 // starts per second in the region that was cut off, for each second of the cut
+	LongestMS    int64     // longest time without a task start in a region
 	Broken       []string
 	Seconds      []Second
 }
 
-// Rate is a rate's middle and highest second, after the first tenth of the run.
+// Rate holds the median and the maximum of a rate over the seconds after the first tenth of the run.
 type Rate struct{ P50, Most float64 }
 
-// Spread is how a figure lies over the workers.
+// Spread is the distribution of a figure over the workers.
 type Spread struct{ Mean, P99 float64 }
 
-// Waits are times from submission to running, in milliseconds.
+// Waits is the distribution of times from submission to running, in milliseconds.
 type Waits struct {
 	Count          int64
 	P50, P99, P999 float64
 }
 
-// ControllerReport is what a controller took.
+// ControllerReport is the resource usage of a controller.
 type ControllerReport struct {
 	Name             string
-	Led              bool // at the end
+	Led              bool // whether it was the leader at the end
 	CPUMean, CPUMost float64
 	MemoryMost       int // in bytes
 	FilesMost        int
@@ -72,7 +72,7 @@
 	Machines int
 }
 
-// sample takes what the processes take now, and returns the memory of all of them in bytes.
+// sample records the current resource usage of the controllers, and returns the memory of all processes in bytes.
 func (r *run) sample() uint64 {
 	total := uint64(0)
 	for _, g := range r.regions {
@@ -100,11 +100,11 @@
 		return s
 	}
 	s.CPU, s.Memory = stat.CPUTime(), stat.ResidentMemory()
-	s.Files, _ = proc.FileDescriptorsLen() // of a process that has just ended none
+	s.Files, _ = proc.FileDescriptorsLen() // 0 for a process that has just ended
 	return s
 }
 
-// report sums the run up.
+// report summarises the run.
 func (r *run) report() *Report {
 	out := &Report{Share: r.opt.Share, For: r.opt.For}
 	out.Seconds = r.seconds()
@@ -117,7 +117,7 @@
 	out.Starts = rate(starts)
 	out.StateAsked = rate(r.perSecond(func(s Snapshot) int64 { return s.Requests })[skip:])
 	out.StateWrote = rate(r.perSecond(func(s Snapshot) int64 { return s.Writes })[skip:])
-	urgent, ordinary := hdrhistogram.New(leastWait, mostWait, digits), hdrhistogram.New(leastWait, mostWait, digits)
+	urgent, ordinary := hdrhistogram.New(minWait, maxWait, digits), hdrhistogram.New(minWait, maxWait, digits)
 	var rates []WorkerRate
 	for _, g := range r.regions {
 		last := g.snapshots[len(g.snapshots)-1]
@@ -140,7 +140,7 @@
 	return out
 }
 
-// cutStarts are the starts in each second in which a region was cut off.
+// cutStarts returns the task starts in each second in which the region was cut off.
 func (r *run) cutStarts(g *regionRun) (out []float64) {
 	if g.plan.Region != r.opt.CutRegion {
 		return nil
@@ -161,7 +161,7 @@
 	c.Cancelled += o.Cancelled
 }
 
-// perSecond is how much a count of all regions together rises from snapshot to snapshot.
+// perSecond returns the rate at which a counter, summed over all regions, rises between successive snapshots.
 func (r *run) perSecond(of func(s Snapshot) int64) []float64 {
 	var out []float64
 	for _, g := range r.regions {
@@ -222,7 +222,7 @@
 	out := ControllerReport{Name: c.name}
 	for i, s := range c.samples {
 		out.MemoryMost, out.FilesMost, out.Led = max(out.MemoryMost, s.Memory), max(out.FilesMost, s.Files), s.Leading
-		if i == 0 || s.CPU < c.samples[i-1].CPU { // it was started again
+		if i == 0 || s.CPU < c.samples[i-1].CPU { // the process was restarted
 			continue
 		}
 		used := s.CPU - c.samples[i-1].CPU
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -18,21 +18,21 @@
 	"github.com/marlwood/marlwood/internal/lab"
 )
 
-// controller is a real one, as a process of its own.
+// controller is a real controller that runs as a separate process.
 type controller struct {
 	name, zone, listen, peer string
-	program                  string // the build that it runs
+	program                  string // path of the build that it runs
 	process                  *process
-	killed                   bool // by the run, until it is started again
+	killed                   bool // the run killed it and has not restarted it
 	samples                  []Sample
 }
 
-// regionRun is one region of a run: its outside systems in one process, and its controllers.
+// regionRun is one region of a run: the process that simulates its external systems, and its controllers.
 type regionRun struct {
 	plan        Plan
 	process     *process
 	commands    *json.Encoder
-	output      *os.File // what its process writes, read through lines
+	output      *os.File // output of its process, read through lines
 	lines       *bufio.Scanner
 	addrs       Addresses
 	settings    string // path of its controllers' settings
@@ -40,7 +40,7 @@
 	snapshots   []Snapshot
 }
 
-// process is one that the run started.
+// process is a child process of the run.
 type process struct {
 	cmd   *exec.Cmd
 	ended chan struct{}
@@ -59,7 +59,7 @@
 	return p, nil
 }
 
-// end ends the process, and waits until it has ended.
+// end signals the process and waits until it has ended. It kills the process after 3 s.
 func (p *process) end(signal os.Signal) {
 	if p == nil {
 		return
@@ -73,17 +73,18 @@
 	}
 }
 
-// run is one under way.
+// run is a run in progress.
 type run struct {
 	opt     Options
 	dir     string
 	regions []*regionRun
 	links   []*regionLink
-	taken   map[string]bool // addresses of controllers
-	broken  []string        // rules over all regions
+	taken   map[string]bool // addresses given to controllers
+	broken  []string        // violations of rules that concern all regions together
 }
 
-// Run plays a run, and reports it. A rule that was broken is ErrRule, with the report of the run.
+// Run executes a run and returns its report. If a rule was broken, it returns the report and an error that wraps
+// ErrRule.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	if err := o.check(); err != nil {
 		return nil, err
@@ -117,7 +118,7 @@
 	return out, nil
 }
 
-// close ends all processes and removes all files of the run.
+// close ends all processes of the run and removes its files.
 func (r *run) close() {
 	for _, k := range r.links {
 		_ = k.Close()
@@ -134,7 +135,7 @@
 	_ = os.RemoveAll(r.dir)
 }
 
-// nameControllers names a region's controllers and takes their addresses.
+// nameControllers gives a region's controllers their names, builds and addresses.
 func (r *run) nameControllers(g *regionRun) error {
 	for i := range controllersEach {
 		c := &controller{name: fmt.Sprintf("%s-c%d", g.plan.Region, i+1), zone: g.plan.Zones[i%len(g.plan.Zones)], program: r.opt.Program}
@@ -153,7 +154,7 @@
 	return nil
 }
 
-// begin starts a region's outside systems and its controllers.
+// begin starts the simulation of a region's external systems, and its controllers.
 func (r *run) begin(g *regionRun) error {
 	cfg := RegionConfig{Plan: g.plan, Nodes: map[string]string{}}
 	for _, c := range g.controllers {
@@ -173,20 +174,20 @@
 	return nil
 }
 
-// Ports of controllers lie below those that the system gives to connections and to listeners that ask
-// for any.
+// The range of controllers' ports. It lies below the ports that the system assigns to connections and to listeners
+// that ask for any port.
 //
-// Guard: a port that was tried and given back was taken by a hollow worker before its controller began.
+// Guard: when freeAddr found a port free and released it, a hollow worker took the port before its controller started.
 const (
-	leastPort = 18_000
-	mostPort  = 32_000
+	minPort   = 18_000
+	maxPort   = 32_000
 	portTries = 200
 )
 
-// freeAddr finds a loopback address that nobody listens on, and that it has not named before.
+// freeAddr returns a loopback address that nobody listens on and that it has not returned before.
 func (r *run) freeAddr() (string, error) {
 	for range portTries {
-		addr := fmt.Sprintf("127.0.0.1:%d", leastPort+rand.IntN(mostPort-leastPort))
+		addr := fmt.Sprintf("127.0.0.1:%d", minPort+rand.IntN(maxPort-minPort))
 		if r.taken[addr] {
 			continue
 		}
@@ -208,7 +209,7 @@
 	if err != nil {
 		return err
 	}
-	// Guard: Wait closes the pipe of StdoutPipe when the process ends, although its last snapshot may not have
+	// Guard: with StdoutPipe, Wait closes the pipe when the process ends, although its last snapshot may not have
 	// been read yet; the run then failed at its end (TestLastSnapshotAfterTheProcessEnded).
 	output, write, err := os.Pipe()
 	if err != nil {
@@ -216,7 +217,7 @@
 	}
 	g.output, cmd.Stdout = output, write
 	g.process, err = start(cmd)
-	_ = write.Close() // the process has its own
+	_ = write.Close() // the process has its own copy
 	if err != nil {
 		return err
 	}
@@ -244,7 +245,7 @@
 		if err != nil {
 			return err
 		}
-		defer func() { _ = f.Close() }() // the process has its own
+		defer func() { _ = f.Close() }() // the process has its own copy
 		cmd.Stderr = f
 	}
 	var err error
@@ -253,17 +254,17 @@
 	return err
 }
 
-// errEnded tells that a region's process ended before its time.
+// errEnded reports that a region's process ended before its last snapshot.
 var errEnded = errors.New("scale: a region's process ended early")
 
-// watch has the users begin, and follows the regions until they are through.
+// watch starts the users, then collects the regions' snapshots and injects faults until all regions have finished.
 func (r *run) watch(ctx context.Context) error {
-	type told struct {
+	type message struct {
 		region   *regionRun
 		snapshot Snapshot
 		ok       bool
 	}
-	news := make(chan told)
+	messages := make(chan message)
 	stop := make(chan struct{})
 	defer close(stop)
 	for _, g := range r.regions {
@@ -272,10 +273,10 @@
 		}
 		go func() {
 			for {
-				t := told{region: g, ok: g.lines.Scan()}
+				t := message{region: g, ok: g.lines.Scan()}
 				t.ok = t.ok && json.Unmarshal(g.lines.Bytes(), &t.snapshot) == nil
 				select {
-				case news <- t:
+				case messages <- t:
 				case <-stop:
 					return
 				}
@@ -291,13 +292,13 @@
 	}
 	second := time.NewTicker(time.Second)
 	defer second.Stop()
-	faults, use := r.faults(), newUseOfAll(r.regions[0].plan)
+	faults, use := r.faults(), newGlobalUsage(r.regions[0].plan)
 	defer func() { r.broken = use.broken }()
 	for left := len(r.regions); left > 0; {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case t := <-news:
+		case t := <-messages:
 			if !t.ok {
 				return fmt.Errorf("%w: %s", errEnded, t.region.plan.Region)
 			}
@@ -322,7 +323,7 @@
 	return nil
 }
 
-// checkRunning tells of a controller that ended without having been killed.
+// checkRunning returns an error if a controller ended that the run had not killed.
 func (r *run) checkRunning() error {
 	for _, g := range r.regions {
 		for _, c := range g.controllers {
@@ -338,7 +339,7 @@
 	return nil
 }
 
-// at is how long the region's users have been at it, by its last snapshot.
+// at returns the time since the region's users started, as of its last snapshot.
 func (g *regionRun) at() time.Duration {
 	if len(g.snapshots) == 0 {
 		return 0
@@ -346,7 +347,7 @@
 	return g.snapshots[len(g.snapshots)-1].At
 }
 
-// leader is the region's leader by its last snapshot; nil: none is known.
+// leader returns the region's leader as of its last snapshot, or nil if none is known.
 func (g *regionRun) leader() *controller {
 	if len(g.snapshots) == 0 {
 		return nil
@@ -359,10 +360,10 @@
 	return nil
 }
 
-// backAfter is when a controller that was killed starts again.
-const backAfter = 8 * time.Second
+// restartDelay is the time after which a killed controller is restarted.
+const restartDelay = 8 * time.Second
 
-// faults returns a function that brings each fault about once its time has come.
+// faults returns a function that injects each fault once its time has come. It is called every second.
 func (r *run) faults() func() error {
 	first := r.regions[0]
 	var killed *controller
@@ -373,7 +374,7 @@
 			if killed = first.leader(); killed != nil {
 				killed.killed = true
 				killed.process.end(syscall.SIGKILL)
-				back, leaderDone = time.Now().Add(backAfter), true
+				back, leaderDone = time.Now().Add(restartDelay), true
 			}
 		}
 		if killed != nil && time.Now().After(back) {
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -13,8 +13,8 @@
 	"github.com/marlwood/marlwood/internal/standin"
 )
 
-// built builds the program and the run's own command.
-func built(t *testing.T) (program, scale string) {
+// buildPrograms builds marlwood and the command of this package.
+func buildPrograms(t *testing.T) (program, scale string) {
 	dir := t.TempDir()
 	program, scale = filepath.Join(dir, "marlwood"), filepath.Join(dir, "scale")
 	for to, pkg := range map[string]string{program: "../../cmd/marlwood", scale: "./cmd"} {
@@ -25,10 +25,10 @@
 	return program, scale
 }
 
-// A small share with a leader and machines lost: all that is counted comes about, and no rule
-// breaks. It asserts no times.
+// TestSmallShare runs a small share of the planned size, with a killed leader, failed machines and a region that is cut
+// off. It checks that everything the report counts occurs and that no rule is broken. It checks no durations.
 func TestSmallShare(t *testing.T) {
-	program, scale := built(t)
+	program, scale := buildPrograms(t)
 	r, err := Run(context.Background(), Options{Program: program, Region: []string{scale, "region"}, Share: 0.02, For: 25 * time.Second,
 		Peak: 8 * time.Second, Seed: 1, KillLeader: 12 * time.Second, KillMachines: 2, KillAt: 14 * time.Second,
 		CutRegion: "south", CutAt: 10 * time.Second, CutFor: 10 * time.Second})
@@ -53,9 +53,9 @@
 	}
 }
 
-// A region's process ends as soon as it has written its last snapshot, and the run may read that snapshot only
-// after the process has ended. The pipe was closed by then now and then, the last snapshot was lost, and
-// TestSmallShare failed after a whole run with "a region's process ended early".
+// TestLastSnapshotAfterTheProcessEnded checks that the last snapshot can be read after the region's process has ended.
+// The process ends as soon as it has written that snapshot. Sometimes the pipe was closed before the run had read the
+// snapshot, and TestSmallShare failed after a whole run with "a region's process ended early".
 func TestLastSnapshotAfterTheProcessEnded(t *testing.T) {
 	script := `read config; echo '{}'; read command; echo '{"Started": 7}'`
 	r := &run{opt: Options{Region: []string{"sh", "-c", script}}}
@@ -74,8 +74,8 @@
 	}
 }
 
-// What can't be played is told before anything starts.
-func TestOptions(t *testing.T) {
+// TestInvalidOptions checks that Run rejects invalid options.
+func TestInvalidOptions(t *testing.T) {
 	good := Options{Share: 0.02, For: time.Minute, Peak: 20 * time.Second}
 	for name, change := range map[string]func(o *Options){
 		"no share": func(o *Options) { o.Share = 0 }, "more than the plan": func(o *Options) { o.Share = 1.5 },
@@ -89,15 +89,16 @@
 	}
 }
 
-// A team that uses more than its limit in all regions together is seen, at a moment that all told of.
-func TestUseOfAll(t *testing.T) {
+// TestTeamLimitOverAllRegions checks that a team above its limit in all regions together is reported, and only for a
+// time of which all regions have reported a sample.
+func TestTeamLimitOverAllRegions(t *testing.T) {
 	p := planRegion(Options{Share: 1, For: time.Minute}, 0)
 	team := p.Teams[0]
 	for name, c := range map[string]struct {
 		parts  []float64
 		broken int
-	}{"at the limit": {[]float64{0.5, 0.25, 0.25}, 0}, "above it": {[]float64{0.5, 0.25, 0.26}, 1}, "not all have told": {[]float64{0.9, 0.9}, 0}} {
-		u := newUseOfAll(p)
+	}{"at the limit": {[]float64{0.5, 0.25, 0.25}, 0}, "above it": {[]float64{0.5, 0.25, 0.26}, 1}, "not all regions have reported": {[]float64{0.9, 0.9}, 0}} {
+		u := newGlobalUsage(p)
 		for _, part := range c.parts {
 			u.add([]UseSample{{AtMS: 1000, Used: map[string]float64{team.Name: part * team.Limit}}, {AtMS: 1100}})
 		}
@@ -107,8 +108,8 @@
 	}
 }
 
-// Each rule is seen to break by what is on the machines.
-func TestTruth(t *testing.T) {
+// TestRuleViolations checks that each broken rule is detected from the state of the machines.
+func TestRuleViolations(t *testing.T) {
 	p := planRegion(Options{Share: 1, For: time.Minute}, 0)
 	small, zones := p.Types[0].Name, p.Zones
 	job := func(change func(j *model.Job)) *model.Job {
@@ -124,7 +125,7 @@
 		name, rule string
 		do         func(x *truth)
 	}{
-		{"all is well", "", func(x *truth) {
+		{"no rule broken", "", func(x *truth) {
 			j := job(func(*model.Job) {})
 			x.observe(on(j, "j/0", zones[0]))
 			e := on(j, "j/0", zones[0])
@@ -150,12 +151,12 @@
 			e.Spot = true
 			x.observe(e)
 		}},
-		{"not together", "wrong_place", func(x *truth) {
+		{"tasks of a one-zone job in two zones", "wrong_place", func(x *truth) {
 			j := job(func(j *model.Job) { j.OneZone = true })
 			x.observe(on(j, "j/0", zones[0]))
 			x.observe(on(j, "j/1", zones[1]))
 		}},
-		{"not apart", "wrong_place", func(x *truth) {
+		{"too many tasks of a spread job in a zone", "wrong_place", func(x *truth) {
 			j := job(func(j *model.Job) { j.Spread = true })
 			for _, task := range []string{"j/0", "j/1", "j/2"} {
 				x.observe(on(j, task, zones[0]))
@@ -170,8 +171,8 @@
 			x.answered("j", 4, model.Cancelled, now)
 			x.sweep(now.Add(cancelWait + time.Second))
 		}},
-		{"done before its tasks are", "not_done", func(x *truth) { x.answered("j", 4, model.Done, now) }},
-		{"called something else later", "went_back", func(x *truth) {
+		{"reported done before its tasks are", "not_done", func(x *truth) { x.answered("j", 4, model.Done, now) }},
+		{"another stage after a final one", "went_back", func(x *truth) {
 			x.answered("j", 4, model.Cancelled, now)
 			x.answered("j", 4, "running", now)
 		}},
--- a/internal/scale/truth.go
+++ b/internal/scale/truth.go
@@ -11,8 +11,8 @@
 	"github.com/marlwood/marlwood/internal/standin"
 )
 
-// truth judges the protocol's rules by what is on the hollow machines, never by what controllers
-// say. It is safe for concurrent use.
+// truth checks the protocol's rules against the state of the hollow machines, not against the state that controllers
+// report. It is safe for concurrent use.
 type truth struct {
 	limits map[string]float64 // by team, in CPUs
 	types  map[string]model.MachineType
@@ -20,21 +20,21 @@
 	mu        sync.Mutex
 	jobs      map[string]*jobTruth
 	used      map[string]float64 // by team, in CPUs
-	samples   []UseSample        // since they were last taken
+	samples   []UseSample        // since the last call of take
 	broken    []string
 	lastStart time.Time
-	longest   time.Duration // without any start
+	longest   time.Duration // longest time without a task start
 }
 
-// jobTruth is what is really so of a job.
+// jobTruth is the actual state of a job on the machines, and what its user was told about it.
 type jobTruth struct {
-	zones     map[string]int // its tasks on machines
-	on        int
-	done      map[string]bool
-	cancelled time.Time     // when its user was told; zero: not yet
-	told      model.Stage   // the last final answer
-	submitted time.Time     // when its user first sent it
-	began     time.Duration // from then until its first task ran; 0: none did
+	zones     map[string]int  // number of its tasks on machines, by zone
+	on        int             // number of its tasks on machines
+	done      map[string]bool // ids of its completed tasks
+	cancelled time.Time       // when its user learned that it was cancelled; zero: not yet
+	told      model.Stage     // the last final stage that its user was told
+	submitted time.Time       // when its user first sent it
+	began     time.Duration   // time from submission to the start of its first task; 0: none has started
 }
 
 func newTruth(p Plan) *truth {
@@ -49,10 +49,11 @@
 	return t
 }
 
-// rounding is how far sums of CPUs may be off.
+// rounding is the tolerance for sums of CPUs.
 const rounding = 1e-6
 
-func (t *truth) breaks(rule, format string, args ...any) {
+// recordViolation adds a violation of a rule. It keeps only the first ones.
+func (t *truth) recordViolation(rule, format string, args ...any) {
 	const most = 20
 	if len(t.broken) < most {
 		t.broken = append(t.broken, rule+": "+fmt.Sprintf(format, args...))
@@ -68,7 +69,7 @@
 	return j
 }
 
-// observe takes in that a task came to be on a machine, or left it.
+// observe processes an event: a task started on a machine or left it.
 func (t *truth) observe(e standin.Event) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -87,10 +88,10 @@
 	j.zones[e.Zone]++
 	t.used[team] += e.Job.Size.CPUs
 	if t.used[team] > t.limits[team]+rounding {
-		t.breaks("quota", "%s uses %.2f of %.2f CPUs with %s", team, t.used[team], t.limits[team], e.Task)
+		t.recordViolation("quota", "%s uses %.2f of %.2f CPUs with %s", team, t.used[team], t.limits[team], e.Task)
 	}
 	if !j.cancelled.IsZero() && e.At.Sub(j.cancelled) > cancelWait {
-		t.breaks("ran_cancelled", "%s starts %v after its user was told", e.Task, e.At.Sub(j.cancelled))
+		t.recordViolation("ran_cancelled", "%s starts %v after its user was told", e.Task, e.At.Sub(j.cancelled))
 	}
 	if j.began == 0 && !j.submitted.IsZero() {
 		j.began = e.At.Sub(j.submitted)
@@ -101,7 +102,7 @@
 	t.lastStart = e.At
 }
 
-// checkPlace looks at where a task comes to be, given the job's other tasks.
+// checkPlace checks the rules of placement for a task that starts, given the job's other tasks.
 func (t *truth) checkPlace(e standin.Event, j *jobTruth) {
 	kind, elsewhere := t.types[e.Type], 0
 	for zone, n := range j.zones {
@@ -111,42 +112,42 @@
 	}
 	switch {
 	case !e.Job.Allows(kind, e.Zone), e.Spot && !e.Job.Spot:
-		t.breaks("wrong_place", "%s on %s, a %s in %s, spot %v", e.Task, e.Machine, e.Type, e.Zone, e.Spot)
+		t.recordViolation("wrong_place", "%s on %s, a %s in %s, spot %v", e.Task, e.Machine, e.Type, e.Zone, e.Spot)
 	case e.Job.OneZone && elsewhere > 0:
-		t.breaks("wrong_place", "%s in %s, %d others of its job elsewhere", e.Task, e.Zone, elsewhere)
+		t.recordViolation("wrong_place", "%s in %s, %d others of its job elsewhere", e.Task, e.Zone, elsewhere)
 	case j.zones[e.Zone] >= e.Job.ZoneCap():
-		t.breaks("wrong_place", "%s is one too many in %s", e.Task, e.Zone)
+		t.recordViolation("wrong_place", "%s is one too many in %s", e.Task, e.Zone)
 	}
 }
 
-// sweep looks for tasks of jobs that were cancelled too long ago.
+// sweep checks that no task still runs whose job was cancelled more than cancelWait ago.
 func (t *truth) sweep(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for id, j := range t.jobs {
 		if j.on > 0 && !j.cancelled.IsZero() && now.Sub(j.cancelled) > cancelWait {
-			t.breaks("ran_cancelled", "%s has %d tasks on machines %v after its user was told", id, j.on, now.Sub(j.cancelled))
+			t.recordViolation("ran_cancelled", "%s has %d tasks on machines %v after its user was told", id, j.on, now.Sub(j.cancelled))
 		}
 	}
 }
 
-// submitted notes when a user first sent a job.
+// submitted records when a user first submitted a job.
 func (t *truth) submitted(id string, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.job(id).submitted = at
 }
 
-// answered takes in what a user was told of a job of so many tasks.
+// answered checks and records the stage that a user was told. tasks is the number of tasks of the job.
 func (t *truth) answered(id string, tasks int, stage model.Stage, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	j := t.job(id)
 	if j.told.Final() && stage != j.told {
-		t.breaks("went_back", "%s is called %s after %s", id, stage, j.told)
+		t.recordViolation("went_back", "%s is called %s after %s", id, stage, j.told)
 	}
 	if stage == model.Done && len(j.done) < tasks {
-		t.breaks("not_done", "%s is called done, %d of %d tasks are", id, len(j.done), tasks)
+		t.recordViolation("not_done", "%s is called done, %d of %d tasks are", id, len(j.done), tasks)
 	}
 	if stage == model.Cancelled && j.cancelled.IsZero() {
 		j.cancelled = at
@@ -156,23 +157,23 @@
 	}
 }
 
-// began tells how long after it was first sent a job's first task ran; 0: none has.
+// began returns the time from a job's first submission to the start of its first task, or 0 if none has started.
 func (t *truth) began(id string) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.job(id).began
 }
 
-// UseSample is what teams use in a region at a moment of the time of day.
+// UseSample holds the CPUs that teams use in a region at one time.
 type UseSample struct {
-	AtMS int64
-	Used map[string]float64 // CPUs
+	AtMS int64              // Unix time in milliseconds
+	Used map[string]float64 // CPUs by team
 }
 
-// sampleEvery is how often it is noted what teams use, at moments that are the same in all regions.
+// sampleEvery is the interval between samples of the teams' usage, taken at the same times in all regions.
 const sampleEvery = 100 * time.Millisecond
 
-// sample notes what teams use now.
+// sample records the CPUs that teams use now.
 func (t *truth) sample(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -185,8 +186,7 @@
 	t.samples = append(t.samples, s)
 }
 
-// take returns the rules broken so far, the longest time without a start, and what was used since the
-// last call.
+// take returns the rules broken so far, the longest time without a task start, and the samples since the last call.
 func (t *truth) take() (broken []string, longest time.Duration, samples []UseSample) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
