--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -97,7 +97,11 @@
 	for name, c := range map[string]struct {
 		parts  []float64
 		broken int
-	}{"at the limit": {[]float64{0.5, 0.25, 0.25}, 0}, "above it": {[]float64{0.5, 0.25, 0.26}, 1}, "not all regions have reported": {[]float64{0.9, 0.9}, 0}} {
+	}{
+		"at the limit":                  {[]float64{0.5, 0.25, 0.25}, 0},
+		"above it":                      {[]float64{0.5, 0.25, 0.26}, 1},
+		"not all regions have reported": {[]float64{0.9, 0.9}, 0},
+	} {
 		u := newGlobalUsage(p)
 		for _, part := range c.parts {
 			u.add([]UseSample{{AtMS: 1000, Used: map[string]float64{team.Name: part * team.Limit}}, {AtMS: 1100}})
--- a/internal/scale/truth.go
+++ b/internal/scale/truth.go
@@ -126,7 +126,8 @@
 	defer t.mu.Unlock()
 	for id, j := range t.jobs {
 		if j.on > 0 && !j.cancelled.IsZero() && now.Sub(j.cancelled) > cancelWait {
-			t.recordViolation("ran_cancelled", "%s has %d tasks on machines %v after its user was told", id, j.on, now.Sub(j.cancelled))
+			t.recordViolation("ran_cancelled", "%s has %d tasks on machines %v after its user was told", id, j.on,
+				now.Sub(j.cancelled))
 		}
 	}
 }
