--- a/internal/simtest/accounts.go
+++ b/internal/simtest/accounts.go
@@ -6,7 +6,7 @@
 	"github.com/marlwood/marlwood/internal/accounting"
 )
 
-// counted sums what the state service holds of each team's use, and of its work that is repeated.
+// counted returns the CPU time that the state service has recorded for each team.
 func (w *cluster) counted() (run map[string]time.Duration, err error) {
 	run = map[string]time.Duration{}
 	items, _ := w.store.List(accounting.KeyPrefix)
@@ -22,8 +22,8 @@
 	return run, nil
 }
 
-// countAgain checks that nothing was counted twice: what a team's tasks ran, and for each what a
-// leader may see late of its end (a lease and a report), is never exceeded.
+// countAgain checks that no usage was counted twice. The recorded CPU time of a team must not exceed what its tasks
+// used plus, for each task, the delay with which a leader may learn of its end (a lease and a heartbeat).
 func (w *cluster) countAgain() {
 	for _, m := range w.cloud.machines {
 		for _, t := range m.tasks {
--- a/internal/simtest/cluster.go
+++ b/internal/simtest/cluster.go
@@ -27,7 +27,7 @@
 	teams       = map[string]model.Team{"free": {Name: "free"}, "tight": {Name: "tight", Limit: model.Size{CPUs: 4}}}
 )
 
-// cluster is three controllers, the services, the machines and the users.
+// cluster is a simulated deployment: three controllers, the services, the machines and the users.
 type cluster struct {
 	sim            *sim
 	plan           Plan
@@ -37,40 +37,40 @@
 	cloud          *cloud
 	nodes          []*node
 	users          *simulation.Process
-	place          *place // of users
+	place          *place // network endpoint of the users
 	jobs           map[string]*job
-	all            []*job // in the order of their submission
+	all            []*job // in order of submission
 	op             *settings.Operator
 	starts         int
 	level          slog.Level
-	tap            func() scheduler.Recorder // nil: nothing is recorded
-	drained        map[string]bool           // what an operator was told is drained: machines, and zones after "zone "
-	operated       map[string]bool           // names that an operator has drained
-	used           map[string]time.Duration  // by team: CPU time that its tasks have run
-	attempts       map[string]int            // by team: tasks that have run
+	tap            func() scheduler.Recorder // nil: decisions are not recorded
+	drained        map[string]bool           // drains confirmed to an operator: machine names, and zones with the prefix "zone "
+	operated       map[string]bool           // names for which an operator has requested a drain
+	used           map[string]time.Duration  // by team: CPU time consumed by its tasks
+	attempts       map[string]int            // by team: number of task runs
 	stopTime       time.Duration             // see Outcome
 	again          time.Duration             // see Outcome
-	told           int                       // cancellations that users were told of
-	checkpoints    int                       // tasks that began to save
+	told           int                       // cancellations confirmed to users
+	checkpoints    int                       // tasks that began to save a checkpoint
 	caught         int                       // see Outcome
 	caughtStopTime time.Duration             // see Outcome
-	// Until then half of the transactions get no answer and are carried out 2 to 12 s later,
-	// and the state service answers up to 3 s late.
+	// Until lateWrites, half of the transactions get no answer and are applied 2 to 12 s later.
+	// Until slowStore, the state service answers up to 3 s late.
 	lateWrites, slowStore time.Duration
-	writeRPS, spare       float64       // puts and deletes a second that the state service takes, 0: any number; what is left of them
-	spareAt               time.Duration // when spare was counted
-	refused               int           // transactions above that
-	copies                time.Duration // until then reports are delivered once more, later
+	writeRPS, spare       float64       // puts and deletes per second that the state service accepts (0: unlimited); the remaining budget
+	spareAt               time.Duration // when spare was last updated
+	refused               int           // transactions rejected because of that limit
+	copies                time.Duration // until then some reports are also delivered a second time, later
 	rare                  rareFaults
-	missed                int                                   // faults that hit nothing
-	met                   [MetKinds]int                         // what came about, of each kind
-	old                   time.Duration                         // until then the first controller reads an earlier form of records
-	regions               *regionSet                            // that this world is one of; nil: it is alone
-	region                int                                   // which one
-	rounds                func(to int, r *peerspb.RoundRequest) // if not nil, is told of messages that leaders send to siblings
+	missed                int                                   // faults that found no target
+	met                   [MetKinds]int                         // number of observed events of each kind
+	old                   time.Duration                         // until then the first controller appears to read an earlier record format
+	regions               *regionSet                            // the regions that this cluster belongs to; nil: it is the only one
+	region                int                                   // index of this cluster in regions
+	rounds                func(to int, r *peerspb.RoundRequest) // if not nil, is called for each message that a leader sends to a sibling
 }
 
-// node is a member, through all its processes.
+// node is a member of the cluster across all restarts of its process.
 type node struct {
 	cluster *cluster
 	member  int
@@ -80,7 +80,7 @@
 	cancel  context.CancelFunc
 }
 
-// operator returns the operators' settings, with some times shorter.
+// operator returns the operator settings with some durations shortened.
 var operator = sync.OnceValues(func() (*settings.Operator, error) {
 	op, err := settings.LoadOperator("")
 	if err != nil {
@@ -96,8 +96,8 @@
 	return newClusterIn(&sim{Sim: simulation.New(p.Seed), story: story}, p, level, tap, nil, 0)
 }
 
-// newClusterIn makes a world in a time that it may share with others: the index-th of regions, if there
-// are any.
+// newClusterIn returns a cluster that runs in the virtual time of s, which other clusters may share. If regions
+// is not nil, the cluster is the region with the given index.
 func newClusterIn(s *sim, p Plan, level slog.Level, tap func() scheduler.Recorder, regions *regionSet, index int) (*cluster, error) {
 	op, err := operator()
 	if err != nil {
@@ -127,16 +127,16 @@
 	for i, z := range zones {
 		n := &node{cluster: w, member: i, place: &place{name: fmt.Sprintf("n%d", i), zone: z, role: controllerRole}}
 		w.nodes = append(w.nodes, n)
-		defer n.boot() // once all are known
+		defer n.boot() // after all nodes have been created
 	}
 	return w, nil
 }
 
-// tick is how often a controller looks at what is due: less often than in the live
-// world, which costs nothing but delay.
+// tick is the interval at which a controller processes due work. It is longer than in production, which only
+// adds delay.
 const tick = 100 * time.Millisecond
 
-// boot begins a process of the member.
+// boot starts a new process of the member.
 func (n *node) boot() {
 	w := n.cluster
 	n.process = w.sim.NewProcess(n.place.name)
@@ -202,31 +202,31 @@
 
 var epoch = time.Unix(1_700_000_000, 0)
 
-// Now is the process's steady clock; a process keeps its origin.
+// Now returns the time of the process's monotonic clock, whose origin is fixed for the life of the process.
 func (n *node) Now() time.Time { return epoch.Add(n.process.Local()) }
 
-// WallClock is the time of day.
+// WallClock returns the time of day.
 func (n *node) WallClock() time.Time { return epoch.Add(n.cluster.sim.Now()) }
 
-// Random draws from the seeded random numbers.
+// Random returns a number from the seeded random generator.
 func (n *node) Random() uint64 { return n.cluster.sim.Rand.Uint64() }
 
-// Post runs a function between two events of the loop.
+// Post runs a function between two events of the event loop.
 func (n *node) Post(f func()) { f() } // fibers run between the loop's events
 
 // Go starts a fiber of the simulated process.
 func (n *node) Go(f func()) { n.process.Spawn(f) }
 
-// NewLatch makes a latch of simulated time.
+// NewLatch returns a latch that works in simulated time.
 func (n *node) NewLatch() api.Latch { return n.process.NewLatch() }
 
 // Sleep pauses the process in simulated time.
 func (n *node) Sleep(_ context.Context, d time.Duration) { n.process.Sleep(d) }
 
-// Store is a client of the simulated key-value store.
+// Store returns a client of the simulated key-value store.
 func (n *node) Store() controller.Store { return storeClient{n} }
 
-// Cloud is a client of the simulated cloud.
+// Cloud returns a client of the simulated cloud.
 func (n *node) Cloud() controller.Cloud { return cloudClient{n} }
 
 // DialRegion connects to another region.
@@ -247,7 +247,7 @@
 	return nil, errors.New("no such sibling")
 }
 
-// link carries rounds to a peer.
+// link sends rounds to a peer.
 type link struct{ from, to *node }
 
 var errNoAnswer = errors.New("no answer")
@@ -278,10 +278,10 @@
 	return out, nil
 }
 
-// Close does nothing: the simulated connection holds nothing.
+// Close does nothing: the simulated connection holds no resources.
 func (l link) Close() error { return nil }
 
-// held carries out what a direct call to a machine brings, later if the schedule holds it.
+// held runs do, which delivers a direct call to the machine, after the delay that the schedule sets for it.
 func (m *worker) held(o model.DirectCommands, do func()) {
 	if m.cluster.plan.calls != nil {
 		if d := m.cluster.plan.calls(m, o); d > 0 {
@@ -292,7 +292,7 @@
 	do()
 }
 
-// directCall is how long a controller waits for a worker's answer.
+// directCall is the time that a controller waits for a worker's answer to a direct call.
 const directCall = 1500 * time.Millisecond
 
 // SendCommands delivers commands to a worker and returns its answer.
@@ -305,7 +305,7 @@
 		if m.terminated && w.sim.Rand.IntN(2) == 0 {
 			return 0, nil, httpwire.ErrNotSent
 		}
-		life := m.life // a connection ends with the worker that it leads to
+		life := m.life // a connection ends when its worker process ends
 		type answer struct {
 			status int
 			r      *model.Heartbeat
--- a/internal/simtest/net.go
+++ b/internal/simtest/net.go
@@ -6,8 +6,8 @@
 	"github.com/marlwood/marlwood/internal/simulation"
 )
 
-// place is an end of the network: a controller, a machine, or one of the services,
-// which belong to no zone.
+// place is a network endpoint: a controller, a machine, the users, or one of the services. Users and services
+// belong to no zone.
 type place struct {
 	name string
 	zone string
@@ -24,26 +24,25 @@
 	userRole
 )
 
-// cut is a fault of the network: from some places to others nothing passes.
+// cut is a network partition: no message passes from some endpoints to others.
 type cut struct {
 	until  time.Duration
-	hold   bool // packets are delivered when it ends; else their connections are found reset then
+	hold   bool // whether packets are delivered when the cut ends; otherwise senders then find their connections reset
 	blocks func(from, to *place) bool
 }
 
-// network carries messages: late, out of order between connections, and not at all
-// through a cut.
+// network delivers messages with delays, without order between connections. No message passes a cut.
 type network struct {
 	sim    *sim
 	cuts   []*cut
 	refuse time.Duration // controllers refuse each other's connections until then
-	slow   time.Duration // until then one message in eight is late by up to slowBy
+	slow   time.Duration // until then one message in eight is delayed by up to slowBy
 	slowBy time.Duration
 }
 
 func (n *network) cut(c *cut) { n.cuts = append(n.cuts, c) }
 
-// blocked tells until when nothing passes, and whether it is held.
+// blocked reports whether messages are blocked, until when, and whether they are held until then.
 func (n *network) blocked(from, to *place) (until time.Duration, hold, blocked bool) {
 	hold = true
 	for _, c := range n.cuts {
@@ -54,8 +53,7 @@
 	return until, hold, blocked
 }
 
-// send carries one message; lost, if not nil, is told when its connection is found
-// to be reset.
+// send sends one message. lost, if not nil, is called when the sender finds its connection reset.
 func (n *network) send(from, to *place, deliver, lost func()) {
 	d := n.sim.Between(time.Millisecond, 8*time.Millisecond)
 	if n.sim.Rand.IntN(50) == 0 {
@@ -79,14 +77,13 @@
 	}
 }
 
-// refused tells that a connection is refused at once.
+// refused reports whether a connection is refused at once.
 func (n *network) refused(from, to *place) bool {
 	return from.role == controllerRole && to.role == controllerRole && n.sim.Now() < n.refuse
 }
 
-// ask sends a request from a fiber of p and waits for the answer at most until the
-// time is up; ok is false if none came. serve runs when the request arrives, maybe
-// long after the asker gave up.
+// ask sends a request from a fiber of p and waits at most atMost for the answer; ok is false if there was none.
+// serve runs when the request arrives, which may be long after the sender gave up.
 func ask[T any](p *simulation.Process, n *network, from, to *place, atMost time.Duration, serve func(reply func(T))) (out T, ok bool) {
 	p.Await(func(wake func()) {
 		done := false
--- a/internal/simtest/operators.go
+++ b/internal/simtest/operators.go
@@ -12,11 +12,11 @@
 	"github.com/marlwood/marlwood/internal/placement"
 )
 
-// Draining is what an operator does: a drain, and its end after a while.
+// Draining is a drain by an operator that is ended after a time.
 type Draining struct {
 	At, For  time.Duration
-	Zone     string // what is drained, or "" for a machine
-	Machine  int    // counted round
+	Zone     string // the zone to drain, or "" to drain a machine
+	Machine  int    // index of the machine; it wraps around
 	Deadline time.Duration
 	Force    bool
 }
@@ -26,16 +26,16 @@
 		Machine: rapid.IntRange(0, 7).Draw(t, "machine"), Deadline: seconds(t, "deadline", 0, 8), Force: rapid.IntRange(0, 3).Draw(t, "force") > 0}
 }
 
-// drain has an operator drain something, and undrain it later, asking any controller
-// again until one has an answer.
+// drain makes an operator drain a zone or machine and end the drain later. The operator sends each request to
+// random controllers until one answers.
 func (w *cluster) drain(d Draining) {
 	q := &operatorspb.DrainRequest{Zone: d.Zone, DeadlineS: d.Deadline.Seconds(), Force: d.Force}
 	name, scope, what := "zone "+d.Zone, placement.ZoneScope, d.Zone
 	if m := w.machine(d.Machine); d.Zone == "" && m != nil {
 		q.Node, name, scope, what = m.name, m.name, placement.NodeScope, m.name
 	}
-	// Two operators of the same name race: what the first was told may be undone by the
-	// second before it arrives. Drains of different names overlap as they like.
+	// Each name is drained once only. Two drains of the same name race: the second may undo the first before the
+	// answer to the first arrives. Drains of different names may overlap.
 	if w.operated[name] {
 		return
 	}
@@ -52,7 +52,7 @@
 				break
 			}
 			if c := status.Code(err); c == codes.NotFound || c == codes.FailedPrecondition || c == codes.InvalidArgument {
-				if unsure { // an earlier attempt may yet be recorded
+				if unsure { // an earlier attempt may still be recorded
 					break
 				}
 				return
@@ -62,7 +62,7 @@
 		}
 		w.users.Sleep(max(0, until-w.sim.Now()))
 		for tried {
-			delete(w.drained, name) // it may be carried out before it is answered
+			delete(w.drained, name) // the undrain may be applied before it is answered
 			err := w.operate(&operatorspb.Request{What: &operatorspb.Request_Undrain{Undrain: &operatorspb.UndrainRequest{Node: q.Node, Zone: q.Zone}}})
 			if err == nil {
 				w.sim.tell("%s is undrained", name)
@@ -73,8 +73,8 @@
 				})
 				return
 			}
-			// A drain without an answer may yet be recorded: only one that is surely not
-			// there ends this.
+			// A drain whose request got no answer may still be recorded, so "not found" ends the retries only after
+			// drainWritesDone.
 			if status.Code(err) == codes.NotFound && w.sim.Now() > until+drainWritesDone {
 				return
 			}
@@ -83,10 +83,10 @@
 	})
 }
 
-// drainWritesDone is after which no transaction of a drain is applied late any more.
+// drainWritesDone is the time after which no delayed transaction of a drain is applied any more.
 const drainWritesDone = 20 * time.Second
 
-// operate asks some controller.
+// operate sends a request to a random controller.
 func (w *cluster) operate(r *operatorspb.Request) error {
 	n := w.nodes[w.sim.Rand.IntN(len(w.nodes))]
 	if n.process.Dead() {
@@ -104,7 +104,7 @@
 	return err
 }
 
-// startedOn checks that no task comes to a machine that an operator was told is drained.
+// startedOn checks that no task is started on a machine whose drain was confirmed to an operator.
 func (w *cluster) startedOn(m *worker, task string, attempt uint64) {
 	if w.drained[m.name] || w.drained["zone "+m.pool.Zone] {
 		w.sim.breaks("drained", "%s, attempt %x, is started on %s, which is drained", task, attempt, m.name)
--- a/internal/simtest/plan.go
+++ b/internal/simtest/plan.go
@@ -15,28 +15,28 @@
 	"github.com/marlwood/marlwood/internal/store"
 )
 
-// Plan is a schedule: what users ask for and what goes wrong. With its seed, which
-// draws delays and other small chances, it repeats exactly.
+// Plan is a schedule of user requests and faults. Its seed determines delays and other random choices, so that a
+// run of it can be repeated exactly.
 type Plan struct {
 	Seed      uint64
-	Machines  int           // at most at once, of each kind, ordinary and spot
-	Report    time.Duration // between a worker's reports; 0: one second
+	Machines  int           // maximum number at the same time of each kind, ordinary and spot
+	Report    time.Duration // interval between a worker's heartbeats; 0: one second
 	Lease     time.Duration // of workers
-	Cancel    time.Duration // within which a cancelled job is gone; decides how long a leader may act
+	Cancel    time.Duration // time within which a cancelled job's tasks are gone; determines how long a leader may act
 	Jobs      []Submission
 	Faults    []Fault
 	Drains    []Draining
-	Accounts  bool // what teams use is kept
-	Guarantee bool // there is a team with one
-	Limits    bool // every team has a limit, of two tasks at once
+	Accounts  bool // whether the teams' usage is stored
+	Guarantee bool // whether one team has a guarantee
+	Limits    bool // whether every team has a limit of two concurrent tasks
 
-	// Of scripted schedules: what becomes of transactions, how long a direct call is held beside all other
-	// connections, and what is brought about at moments that the play itself shows; nil: nothing is.
+	// The next three belong to scripted schedules; nil: not used. fates decides the outcome of a transaction, calls
+	// returns the extra delay of a direct call, and script triggers actions at moments that depend on the run.
 	fates  func(c storeClient, t store.Txn) fate
 	calls  func(m *worker, o model.DirectCommands) time.Duration
 	script func(w *cluster)
-	shared map[string]model.Team // teams of several regions; nil: there is one
-	idle   time.Duration         // after which a machine is returned; 0: 4 s
+	shared map[string]model.Team // teams shared by several regions; nil: there is one region
+	idle   time.Duration         // idle time after which a machine is returned; 0: 4 s
 }
 
 // Submission is a user's job.
@@ -46,40 +46,41 @@
 	Tasks    int
 	Team     int
 	OneZone  bool
-	Zone     string // the only one allowed, or ""
+	Zone     string // the only allowed zone, or ""
 	Spread   bool   // at most half of the tasks, rounded up, may be in one zone
 	Spot     bool
 	Takes    time.Duration
 	Cancel   time.Duration  // after its submission; 0: never
-	Beside   bool           // cancelled through a controller that the state service does not refuse
+	Beside   bool           // whether the cancellation is sent to a controller that the state service does not refuse
 	Needs    []int          // numbers of earlier jobs
 	Priority model.Priority // "": normal
-	Every    time.Duration  // progress after which it saves by itself; 0: it never saves
-	Cost     time.Duration  // that saving takes when it is stopped
+	Every    time.Duration  // progress between periodic checkpoints; 0: the job never saves
+	Cost     time.Duration  // time that saving takes when the task is stopped
 }
 
-// Fault is something that goes wrong for a time.
+// Fault is a fault that lasts for a time.
 type Fault struct {
 	Kind string
 	At   time.Duration
 	For  time.Duration
-	A, B int  // controllers or machines, counted round; a controller above 2 is the leader
-	Hold bool // a cut holds packets; else it loses them
+	A, B int  // indexes of controllers or machines; a machine index wraps around, a controller index above 2 is the leader
+	Hold bool // whether a cut delays packets until it ends; otherwise it drops them
 }
 
-// The faults. Those of the network are cuts between places.
-// Those that change leaders and owners come more often.
+// kinds are the fault kinds. Network faults are cuts between endpoints. Kinds that change leaders and owners are
+// listed several times and are therefore drawn more often.
 var kinds = []string{"cut node", "cut node", "refuse", "refuse", "store refuses node", "cut node", "cut node from nodes", "cut node from store", "cut node from workers", "cut into node", "cut out of node",
 	"cut nodes", "cut zone", "cut machine", "refuse", "store refuses node", "outage", "crash", "crash all", "freeze", "hang machine",
 	"stop machine", "old records", "limits fall", "delays", "delays"}
 
-// later are faults that are drawn beside the others, in schedules of their own: machines that
-// hear nothing, copies of reports that come late, a controller alone with the workers,
-// processes and machines that are back at once.
+// later are fault kinds that are drawn in addition to the others, with start times of their own: machines that
+// receive nothing, duplicate heartbeats that arrive late, a controller that reaches only the workers, and
+// processes and machines that restart at once.
 var later = []string{"deafen machine", "deafen machine", "deafen zone", "late copies", "late copies", "alone with workers", "alone with workers",
 	"crash back", "crash back", "crash all back", "machine back", "machine back", "machine back"}
 
-// Those that meet: of a controller, and of a machine beside a controller's end.
+// meetsNode and meetsMachine are the fault kinds that are made to overlap: those of a controller, and those of a
+// machine together with the crash of a controller.
 var (
 	meetsNode = []string{"store refuses node", "store refuses node", "outage", "outage", "late writes", "late writes", "slow store", "alone with workers",
 		"cut node from store", "cut node from nodes", "cut node from workers", "cut into node", "freeze", "crash", "crash back", "crash all back", "late copies", "refuse"}
@@ -87,23 +88,23 @@
 		"crash", "crash back", "crash all back", "store refuses node", "freeze", "late writes"}
 )
 
-// changes are what makes another controller lead.
+// changes are the fault kinds that cause a change of leader.
 var changes = []string{"cut node", "cut node", "cut node from store", "store refuses node", "freeze", "crash", "cut zone"}
 
-// times are leases and what a cancellation has. A leader acts for 9, 9 and 18 s after
-// its last look, which is less and more than a lease.
+// times are pairs of a worker lease and the time limit of a cancellation. A leader acts for 9, 9 and 18 s after
+// its last read of the leader key, which covers values below and above the lease.
 var times = []struct{ lease, cancel time.Duration }{
 	{10 * time.Second, 24 * time.Second}, {10 * time.Second, 24 * time.Second}, {6 * time.Second, 20 * time.Second}, {7 * time.Second, 30 * time.Second}}
 
-// troubles is when faults have ended, and patience is how long after that every
-// accepted job must be over, besides twice the time that all jobs take one after the
-// other: a takeover that waits for unseen machines and machines that boot, twice.
+// troubles is the time by which all faults have ended. After that every accepted job must end within patience plus
+// twice the summed duration of all jobs. patience covers two times a takeover that waits for unseen machines and
+// machines that boot.
 const (
 	troubles = 60 * time.Second
 	patience = 60 * time.Second
 )
 
-// bound is when all jobs must be over.
+// bound returns the time by which all jobs must have ended.
 func (p Plan) bound() time.Duration {
 	out := p.calmFrom() + patience
 	for _, j := range p.Jobs {
@@ -112,9 +113,8 @@
 	return out + p.checkpointTimes()
 }
 
-// Plans draws schedules. Each has faults of a few kinds only, soon after each other:
-// what takes several of the same kind in a row is found sooner than by drawing each
-// from all.
+// Plans draws schedules. Each has faults of only a few kinds, in quick succession: a failure that needs several
+// faults of the same kind in a row is found sooner than if each fault were drawn from all kinds.
 var Plans = rapid.Custom(func(t *rapid.T) Plan {
 	p := Plan{Seed: rapid.Uint64().Draw(t, "seed"), Machines: rapid.IntRange(1, 3).Draw(t, "machines")}
 	x := rapid.SampledFrom(times).Draw(t, "times")
@@ -124,7 +124,7 @@
 	}
 	at := seconds(t, "first", 6, 13)
 	some := changes
-	if rapid.IntRange(0, 2).Draw(t, "apart") == 2 { // leaders change while controllers cannot talk
+	if rapid.IntRange(0, 2).Draw(t, "apart") == 2 { // leaders change while controllers cannot connect to each other
 		p.Faults = append(p.Faults, Fault{Kind: "refuse", At: at, For: seconds(t, "for", 15, 40)})
 		at += seconds(t, "gap", 0, 8)
 	} else {
@@ -141,7 +141,7 @@
 			A: rapid.IntRange(0, 7).Draw(t, "a"), B: rapid.IntRange(0, 7).Draw(t, "b"), Hold: rapid.Bool().Draw(t, "hold")})
 		at = min(at+seconds(t, "gap", 0, 7), troubles-25*time.Second)
 	}
-	if rapid.IntRange(0, 2).Draw(t, "drained") == 2 { // drawn last: the rest is the same without it
+	if rapid.IntRange(0, 2).Draw(t, "drained") == 2 { // drawn after the rest, so that the rest does not depend on it
 		p.Drains = rapid.SliceOfN(rapid.Custom(drawDraining), 1, 2).Draw(t, "drains")
 	}
 	if rapid.IntRange(0, 1).Draw(t, "later") == 1 { // drawn after that
@@ -151,7 +151,7 @@
 	return p
 })
 
-// drawLater draws faults of one to three of the later kinds.
+// drawLater draws faults of one to three of the kinds in later.
 func drawLater(t *rapid.T) (out []Fault) {
 	some := rapid.SliceOfN(rapid.SampledFrom(later), 1, 3).Draw(t, "later kinds")
 	at := seconds(t, "later first", 4, 15)
@@ -167,8 +167,8 @@
 	return out
 }
 
-// OverlappingFaults draws schedules in which two or three troubles of the same controller or machine meet:
-// each begins near the beginning or the end of an earlier one. A job may be cancelled about then.
+// OverlappingFaults draws schedules in which two or three faults of the same controller or machine overlap: each
+// begins near the start or the end of an earlier one. A job may be cancelled around the same time.
 var OverlappingFaults = rapid.Custom(func(t *rapid.T) Plan {
 	p := Plans.Draw(t, "plan")
 	for range rapid.IntRange(1, 2).Draw(t, "meetings") {
@@ -177,7 +177,7 @@
 	return p
 })
 
-// meet adds one meeting to a schedule.
+// meet adds one group of overlapping faults to a schedule.
 func (p *Plan) meet(t *rapid.T) {
 	some, whom := meetsNode, rapid.SampledFrom([]int{7, 7, 7, 0, 1, 2}).Draw(t, "met")
 	if rapid.IntRange(0, 2).Draw(t, "of a machine") == 2 {
@@ -198,16 +198,16 @@
 	}
 }
 
-// ofNode tells that a fault is one controller's.
+// ofNode reports whether a fault affects a single controller.
 func (f Fault) ofNode() bool {
 	return strings.HasPrefix(f.Kind, "cut node ") || slices.Contains([]string{"cut node", "cut into node", "cut out of node", "crash", "crash back", "freeze",
 		"store refuses node", "alone with workers"}, f.Kind)
 }
 
-// atOnce is how long a process or a machine is away that is back at once: 50 to 900 ms.
+// atOnce returns the downtime of a process or machine that restarts at once: 50 to 900 ms.
 func (f Fault) atOnce() time.Duration { return 50*time.Millisecond + f.For%(850*time.Millisecond) }
 
-// ended is when the last fault is over, the pause before a process is back included.
+// ended returns the time at which the last fault is over, including the pause before a process restarts.
 func (p Plan) ended() (out time.Duration) {
 	for _, f := range p.Faults {
 		out = max(out, f.At+f.For)
@@ -215,11 +215,10 @@
 	return out + 500*time.Millisecond
 }
 
-// calmFrom is when nothing goes wrong any more: later than troubles in schedules that are written,
-// not drawn.
+// calmFrom returns the time after which no fault is active. In scripted schedules it may be later than troubles.
 func (p Plan) calmFrom() time.Duration { return max(troubles, p.ended()) }
 
-// report is the time between a worker's reports.
+// report returns the interval between a worker's heartbeats.
 func (p Plan) report() time.Duration {
 	if p.Report == 0 {
 		return reportEvery
@@ -227,8 +226,8 @@
 	return p.Report
 }
 
-// calm tells that only controllers end in a schedule, for less than pieces of a gang wait for each
-// other: none may wait in vain then.
+// calm reports whether a schedule has at most two faults, which only crash controllers or cut them off from each
+// other, for less time than the tasks of a gang wait for each other. No task may give up waiting then.
 func (p Plan) calm() bool {
 	for _, f := range p.Faults {
 		if f.Kind != "crash back" && f.Kind != "crash" && f.Kind != "cut node from nodes" || f.For > 2*time.Second {
@@ -238,7 +237,7 @@
 	return len(p.Faults) <= 2
 }
 
-// answerWithin is how long after the last trouble each job must be known again to its user.
+// answerWithin is the time after the last fault within which a request about each job must have been answered.
 const answerWithin = 75 * time.Second
 
 func seconds(t *rapid.T, label string, least, most int) time.Duration {
@@ -250,7 +249,7 @@
 		Tasks: rapid.IntRange(1, 3).Draw(t, "tasks"), Takes: seconds(t, "takes", 3, 40), Spot: rapid.Bool().Draw(t, "spot"), Zone: rapid.SampledFrom([]string{"", "", "", "a", "b", "c"}).Draw(t, "zone")}
 	s.OneZone = s.Shape == model.Gang && rapid.Bool().Draw(t, "together")
 	if s.OneZone || s.Zone != "" {
-		s.Tasks = min(s.Tasks, 2) // one machine may be all that there is
+		s.Tasks = min(s.Tasks, 2) // there may be only one machine
 	}
 	if s.Tasks < 3 && rapid.Bool().Draw(t, "tight") {
 		s.Team = 1
@@ -264,31 +263,32 @@
 	return s
 }
 
-// Outcome is what a schedule led to.
+// Outcome is the result of a schedule.
 type Outcome struct {
-	Broken string // the rule, or ""
+	Broken string // the rule that was broken, or ""
 	Events uint64
-	Starts int // tasks that were on a machine
-	// StopTime is the longest time from a user's being told that a job is cancelled until the last of
-	// its tasks was gone, Cancelled how many were told so, and Again when a job first began to run
-	// after the last trouble: 0 if none did.
+	Starts int // number of tasks that began to be on a machine
+	// StopTime is the longest time from the confirmation of a cancellation to a user until the last of the job's
+	// tasks was gone. Cancelled is the number of confirmed cancellations. Again is the time from the end of the
+	// last fault until a task first began to run; 0 if none did.
 	StopTime, Again time.Duration
 	Cancelled       int
-	// Checkpoints is how many tasks began to save, Caught how many of them saved while their user was told
-	// that their job is cancelled, CaughtStopTime the longest from then until one of these was gone.
+	// Checkpoints is the number of tasks that began to save. Caught is the number of tasks that were saving when the
+	// cancellation of their job was confirmed to a user. CaughtStopTime is the longest time from then until one of
+	// these tasks was gone.
 	Checkpoints, Caught int
 	CaughtStopTime      time.Duration
-	Missed              int           // faults that found nothing to hit
-	Met                 [MetKinds]int // what came about, of each kind
+	Missed              int           // faults that found no target
+	Met                 [MetKinds]int // number of observed events of each kind
 	Trace               uint64
 }
 
-// Run plays a schedule. story, if not nil, takes in what happens, and what the
-// controllers log at level or above.
+// Run plays a schedule. If story is not nil, the events and the controllers' log lines at level or above are
+// written to it.
 func Run(p Plan, story *strings.Builder, level slog.Level) Outcome { return run(p, story, level, nil) }
 
-// Record plays a schedule and has each controller's decisions as leader recorded; tap
-// is asked once for every process.
+// Record plays a schedule and records the decisions that each controller takes as leader. tap is called once for
+// every process.
 func Record(p Plan, tap func() scheduler.Recorder) Outcome { return run(p, nil, 0, tap) }
 
 func run(p Plan, story *strings.Builder, level slog.Level, tap func() scheduler.Recorder) Outcome {
@@ -333,7 +333,8 @@
 	return out
 }
 
-// served tells that faults have ended and every job is over for its user.
+// served reports whether all faults have ended, all users have been told that their jobs are over, and no task is
+// on a machine.
 func (w *cluster) served() bool {
 	if w.sim.Now() < w.plan.calmFrom() {
 		return false
@@ -346,7 +347,7 @@
 	return len(w.all) == len(w.plan.Jobs)
 }
 
-// end releases what the processes hold.
+// end stops the processes and releases their resources.
 func (w *cluster) end() {
 	w.endProcesses()
 	w.sim.End()
@@ -362,7 +363,7 @@
 	w.users.Kill()
 }
 
-// fault begins a fault.
+// fault starts a fault.
 func (w *cluster) fault(f Fault) {
 	s, a, b := w.sim, w.controller(f.A), w.controller(f.B)
 	s.tell("%s", f.story(a, b))
@@ -412,7 +413,7 @@
 		if m != nil {
 			cut(func(from, to *place) bool { return from.role == controllerRole && to == m.place })
 		}
-	case "deaf for good": // all is to be served beside it
+	case "deaf for good": // all jobs must be served while it lasts
 		if m != nil {
 			f.For = w.plan.bound()
 			cut(func(from, to *place) bool { return from.role == controllerRole && to == m.place })
@@ -466,7 +467,7 @@
 	}
 }
 
-// controller is the i-th, or the one that has the leader key.
+// controller returns the i-th controller, or the holder of the leader key if i is out of range.
 func (w *cluster) controller(i int) *node {
 	if i < len(w.nodes) {
 		return w.nodes[i]
@@ -481,7 +482,7 @@
 	return w.nodes[0]
 }
 
-// machine is the i-th of those that there are, counted round.
+// machine returns the i-th running machine; the index wraps around. It returns nil if there is none.
 func (w *cluster) machine(i int) *worker {
 	var up []*worker
 	for _, m := range w.cloud.machines {
--- a/internal/simtest/sim.go
+++ b/internal/simtest/sim.go
@@ -1,6 +1,6 @@
-// Package simtest drives whole controllers through faults in virtual time, in one
-// process and from one seed, and checks the protocol's rules against what really
-// happened. It finds schedules of faults that no test was written for.
+// Package simtest runs whole controllers under injected faults in virtual time, in one process and from one seed,
+// and checks the protocol's rules against what happened on the simulated machines. It finds schedules of faults
+// that no test was written for.
 package simtest
 
 import (
@@ -10,11 +10,11 @@
 	"github.com/marlwood/marlwood/internal/simulation"
 )
 
-// sim is virtual time with a story and the rules.
+// sim is the virtual time with an event log (the story) and the first broken rule.
 type sim struct {
 	*simulation.Sim
-	story  *strings.Builder // nil: nobody listens
-	broken string           // the first rule that was broken
+	story  *strings.Builder // nil: events are not logged
+	broken string           // the first rule that was broken, or ""
 }
 
 func (s *sim) tell(format string, args ...any) {
@@ -23,7 +23,7 @@
 	}
 }
 
-// breaks notes a broken rule; the first one counts.
+// breaks records a broken rule; only the first one is kept.
 func (s *sim) breaks(rule, format string, args ...any) {
 	if s.broken == "" {
 		s.broken = rule
--- a/internal/simtest/store.go
+++ b/internal/simtest/store.go
@@ -16,8 +16,7 @@
 	err error
 }
 
-// storeCall asks the state service. A request that got no answer may be carried out
-// late.
+// storeCall sends a request to the state service. A request that got no answer may be executed later.
 func storeCall[T any](c storeClient, atMost time.Duration, do func(reply func(T, error))) (T, error) {
 	n := c.n
 	v := n.cluster.store
@@ -69,10 +68,10 @@
 	return l.items, l.rev, err
 }
 
-// errTooMany is the service's 429.
+// errTooMany represents the state service's status 429.
 var errTooMany = errors.New("too many writes")
 
-// Commit sends again what the service refuses as too much, like the live client.
+// Commit retries transactions that the service rejects because of its write rate, like the production client.
 func (c storeClient) Commit(_ context.Context, t store.Txn) (store.TxnResult, error) {
 	w := c.n.cluster
 	for until := w.sim.Now() + storeTimeout; ; c.n.process.Sleep(w.sim.Between(100*time.Millisecond, 200*time.Millisecond)) {
@@ -117,16 +116,16 @@
 	})
 }
 
-// fate is what becomes of a transaction.
+// fate is the outcome of a transaction for its sender.
 type fate int
 
 const (
 	answered   fate = iota
-	unanswered      // carried out at once; its answer is lost
-	held            // no answer; it is carried out when whoever chose this says so, by late
+	unanswered      // applied at once; the answer is lost
+	held            // no answer; whoever chose this outcome may apply it later by calling late
 )
 
-// fateOf asks the schedule.
+// fateOf returns the outcome that the schedule chooses for a transaction.
 func (p *Plan) fateOf(c storeClient, t store.Txn) fate {
 	if p.fates == nil {
 		return answered
@@ -134,8 +133,8 @@
 	return p.fates(c, t)
 }
 
-// takes tells whether the state service takes so many puts and deletes now: one second's worth may
-// come at once.
+// takes reports whether the state service accepts n puts and deletes now, and deducts them from the budget. Bursts
+// of up to one second's budget are accepted.
 func (w *cluster) takes(n int) bool {
 	if w.writeRPS == 0 {
 		return true
@@ -150,7 +149,7 @@
 	return true
 }
 
-// late carries out a transaction whose sender got no answer; in an outage, after it.
+// late applies a transaction whose sender got no answer. During an outage it waits until the outage is over.
 func (c storeClient) late(t store.Txn) {
 	w := c.n.cluster
 	if w.store.Refuses("") {
@@ -183,7 +182,7 @@
 	return out.events, max(after, out.rev), err
 }
 
-// GrantLease makes a lease.
+// GrantLease creates a lease.
 func (c storeClient) GrantLease(_ context.Context, ttl time.Duration) (uint64, error) {
 	return storeCall(c, storeTimeout, func(reply func(uint64, error)) { reply(c.n.cluster.store.GrantLease(ttl), nil) })
 }
@@ -194,5 +193,5 @@
 	return err
 }
 
-// SetBudgets changes nothing: the model's rates are the service's own, see world.takes.
+// SetBudgets does nothing: the simulated service limits its own rate, see cluster.takes.
 func (c storeClient) SetBudgets(store.Budgets) {}
