--- a/internal/simtest/checkpoints.go
+++ b/internal/simtest/checkpoints.go
@@ -8,16 +8,16 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// Preempting draws schedules on top of those that meet: jobs of different priority, one team has a
-// guarantee, tasks save when they are stopped. A pair of jobs competes for one zone, and the one
-// that gives way may be cancelled while it saves.
+// Preempting draws schedules that extend those of OverlappingFaults: jobs have different priorities, one team has a
+// guarantee, and tasks save when they are stopped. Two jobs compete for one zone, and the preempted one may be
+// cancelled while it saves.
 var Preempting = rapid.Custom(func(t *rapid.T) Plan {
 	p := OverlappingFaults.Draw(t, "plan")
 	p.preempt(t)
 	return p
 })
 
-// preempt adds priorities, a guarantee, checkpoints and the pair to a schedule.
+// preempt adds priorities, a guarantee, checkpoints and the pair of competing jobs to a schedule.
 func (p *Plan) preempt(t *rapid.T) {
 	p.Guarantee = true
 	for i := range p.Jobs {
@@ -48,7 +48,8 @@
 	p.Jobs = append(p.Jobs, gives, takes)
 }
 
-// checkpointTimes is how much longer than they run jobs may take that save: each gives way a few times.
+// checkpointTimes returns the time that jobs which save may take in addition to their run time. It allows for three
+// saves per job, because each may be preempted a few times.
 func (p Plan) checkpointTimes() (out time.Duration) {
 	for _, j := range p.Jobs {
 		out += 3 * j.Cost
@@ -61,7 +62,7 @@
 	guaranteedTeams = map[string]model.Team{"free": teams["free"], "tight": teams["tight"], "owed": {Name: "owed", Guarantee: model.Size{CPUs: 4}}}
 )
 
-// teams are those of a schedule.
+// teams returns the teams of a schedule.
 func (p Plan) teams() map[string]model.Team {
 	switch {
 	case p.shared != nil:
@@ -74,19 +75,19 @@
 	return teams
 }
 
-// limitedTeams have a limit of two tasks at once each.
+// limitedTeams have a limit of two concurrent tasks each.
 var limitedTeams = map[string]model.Team{"free": {Name: "free", Limit: model.Size{CPUs: 4}}, "tight": teams["tight"], "owed": {Name: "owed", Guarantee: model.Size{CPUs: 4}, Limit: model.Size{CPUs: 4}}}
 
-// halt is the orderly stop of a gang's attempt.
+// halt is the coordinated stop of a gang's attempt, in which its tasks save.
 type halt struct {
 	at      time.Duration // the first stop: progress ends
 	reached time.Duration // progress until then
-	failed  bool          // a task disappeared, or was not told in time, before one had exited with its progress saved
-	safe    bool          // one has
+	failed  bool          // a task disappeared or got no stop in time, before any had exited with its progress saved
+	safe    bool          // a task has exited with its progress saved
 }
 
-// stop carries out a command to stop. One without time to save ends a save as well; one with
-// time for it is a repeat then.
+// stop carries out a stop command. While the task saves, a stop without grace time ends the save, and any other stop
+// is a repetition and is ignored.
 func (m *worker) stop(t *copyOf, windDown time.Duration) {
 	spec := t.job.spec
 	switch {
@@ -111,7 +112,7 @@
 	m.write(t, m.stood, t.job.spec.SaveTime)
 }
 
-// write ends a save when its time is over. While its machine stands still nothing is written.
+// write ends a save when its time is over. While the machine hangs, the save makes no progress.
 func (m *worker) write(t *copyOf, stood, left time.Duration) {
 	m.cluster.sim.After(left, func() {
 		m.enter(func() {
@@ -131,7 +132,7 @@
 	})
 }
 
-// halt begins the orderly stop of a task's gang, if it has not begun.
+// halt begins the coordinated stop of a task's gang, if it has not begun.
 func (w *cluster) halt(t *copyOf) {
 	j := t.job
 	if j.halts[t.attempt] != nil {
@@ -161,8 +162,7 @@
 	})
 }
 
-// gather ends the tasks of a gang that have saved, once all have or they have waited for
-// the others.
+// gather ends the tasks of a gang that have saved, once all have saved or the time to wait for the others is over.
 func (w *cluster) gather(t *copyOf) {
 	h, g := t.job.halts[t.attempt], w.gang(t)
 	if h == nil {
@@ -189,7 +189,7 @@
 	}
 }
 
-// progress is what a task has done by now of what its job takes.
+// progress returns how much of its job's duration a task has completed.
 func (t *copyOf) progress(now time.Duration) time.Duration {
 	switch {
 	case t.reached > 0:
@@ -200,7 +200,7 @@
 	return 0
 }
 
-// part names what progress is kept of: the task, or a gang as a whole.
+// part returns the index under which progress is kept: that of the task, or 0 for a gang as a whole.
 func (t *copyOf) part() int {
 	if t.job.spec.Shape == model.Gang {
 		return 0
@@ -208,7 +208,7 @@
 	return t.index
 }
 
-// keep keeps progress; the next start goes on with it.
+// keep stores saved progress; the next start resumes from it.
 func (j *job) keep(part int, progress time.Duration) {
 	if j.kept == nil {
 		j.kept = map[int]time.Duration{}
@@ -216,16 +216,16 @@
 	j.kept[part] = max(j.kept[part], progress)
 }
 
-// lose takes in that a task leaves its machine: what it has saved by itself is kept, and a gang
-// that was saving falls back unless its progress is safe.
+// lose handles a task that leaves its machine: its periodic checkpoints are kept, and a gang that was saving loses
+// later progress unless that is already safe.
 func (w *cluster) lose(t *copyOf) {
 	if every := t.job.spec.CheckpointEvery; every > 0 {
 		t.job.keep(t.part(), t.progress(w.sim.Now())/every*every)
 	}
 	if h := t.job.halts[t.attempt]; h != nil {
 		h.failed = h.failed || !t.saved && !h.safe
-		// Guard: the next leader may resume a stored claim under the same attempt, once all of it
-		// are gone. Taken for still stopping, the gang never ended (explorer, 1700007894).
+		// Guard: the next leader may resume a stored claim under the same attempt once all its tasks are gone. Without
+		// this line the gang was treated as still stopping and never ended (explorer, 1700007894).
 		if len(w.gang(t)) == 0 {
 			delete(t.job.halts, t.attempt)
 		}
@@ -235,7 +235,7 @@
 	}
 }
 
-// catch notes the tasks that save while their user is told that their job is cancelled.
+// catch marks the tasks that are saving at the moment when their job's cancellation is confirmed to the user.
 func (w *cluster) catch(j *job) {
 	for _, m := range w.cloud.machines {
 		for _, t := range m.tasks {
--- a/internal/simtest/cmd/main.go
+++ b/internal/simtest/cmd/main.go
@@ -1,5 +1,5 @@
-// Command cmd explores schedules of faults until it finds one that breaks a rule,
-// or its time is up, and prints that schedule, made as small as it gets.
+// Command cmd runs randomly drawn schedules of faults until one breaks a rule or the time is up. It shrinks a
+// schedule that breaks a rule and prints it.
 package main
 
 import (
@@ -56,7 +56,7 @@
 	if c.Repeat {
 		return c.tell(c.plans(c.Seed).Example(int(c.Seed)), c.Seed)
 	}
-	debug.SetGCPercent(800) // what a schedule leaves is gone at once
+	debug.SetGCPercent(800) // a finished schedule leaves almost nothing alive
 	workers := c.Workers
 	if workers == 0 {
 		workers = runtime.NumCPU()
@@ -106,7 +106,7 @@
 	return c.tell(shrink(c.plans(seed), seed, c.Shrink), seed)
 }
 
-// drawn names what the schedule of a seed is drawn from.
+// drawn returns the name of the generator that draws the schedule of a seed.
 func (c *runCmd) drawn(seed uint64) string {
 	switch {
 	case c.Draw != "all":
@@ -117,7 +117,7 @@
 	return "further"
 }
 
-// plans is what the schedule of a seed is drawn from.
+// plans returns the generator that draws the schedule of a seed.
 func (c *runCmd) plans(seed uint64) *rapid.Generator[simtest.Plan] {
 	return map[string]*rapid.Generator[simtest.Plan]{"faults": simtest.Plans, "meetings": simtest.OverlappingFaults, "further": simtest.RareFaults,
 		"preempting": simtest.Preempting}[c.drawn(seed)]
@@ -135,16 +135,16 @@
 	return fmt.Errorf("%w: %s; --seed %d --repeat --draw %s plays it as it was found", errFound, out.Broken, seed, c.drawn(seed))
 }
 
-// shrink has rapid make a schedule smaller. It stays one that breaks a rule.
+// shrink uses rapid to find a smaller schedule that still breaks the same rule.
 func shrink(plans *rapid.Generator[simtest.Plan], seed uint64, atMost time.Duration) simtest.Plan {
-	testing.Init() // rapid looks at the flags of tests
+	testing.Init() // rapid reads the test flags
 	if err := flag.CommandLine.Parse(nil); err != nil {
 		panic(err)
 	}
 	for name, value := range map[string]string{"rapid.seed": fmt.Sprint(seed), "rapid.checks": "1", "rapid.nofailfile": "true",
 		"rapid.shrinktime": atMost.String()} {
 		if err := flag.Set(name, value); err != nil {
-			panic(err) // a flag of the library is gone
+			panic(err) // the library no longer has this flag
 		}
 	}
 	smallest := plans.Example(int(seed))
@@ -159,22 +159,22 @@
 	return smallest
 }
 
-// recorder is a test that nobody runs.
+// recorder implements rapid's test interface outside of a test and records whether a failure was reported.
 type recorder struct{ failed bool }
 
 // Helper does nothing.
 func (*recorder) Helper() {}
 
-// Name is what failures are reported under.
+// Name returns the name under which failures are reported.
 func (*recorder) Name() string { return "explore" }
 
-// Logf drops the message: a schedule is told by its story.
+// Logf drops the message: the story of the schedule is printed instead.
 func (*recorder) Logf(string, ...any) {}
 
 // Log drops the message.
 func (*recorder) Log(...any) {}
 
-// Skipf does nothing: no property skips.
+// Skipf does nothing: no property skips its test.
 func (*recorder) Skipf(string, ...any) {}
 
 // Skip does nothing.
@@ -201,5 +201,5 @@
 // Fail records a failure.
 func (r *recorder) Fail() { r.failed = true }
 
-// Failed tells whether a failure was recorded.
+// Failed reports whether a failure was recorded.
 func (r *recorder) Failed() bool { return r.failed }
--- a/internal/simtest/cmd/mutants.go
+++ b/internal/simtest/cmd/mutants.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// mutant is a mistake that weakens one guard.
+// mutant is a seeded mistake that weakens one guard.
 type mutant struct {
 	name  string
 	edits []edit
@@ -21,8 +21,8 @@
 
 type edit struct{ file, old, with string }
 
-// mutants are the mistakes that the explorer is tried on. Their files are replaced
-// while a copy of it is built; the sources stay as they are.
+// mutants are the seeded mistakes that the explorer should find. A copy of the explorer is built with the changed
+// files as an overlay; the sources stay unchanged.
 var mutants = slices.Concat(apiMutants, controllerMutants, dagMutants, leadershipMutants, machinerecordsMutants, placementMutants, settingsMutants, workersMutants)
 
 type mutantsCmd struct {
@@ -35,7 +35,7 @@
 
 var foundAfter = regexp.MustCompile(`(?s)^(\d+) schedules in (\S+) .*seed \d+ breaks (\S+);.*?(\d+) jobs, (\d+) faults`)
 
-// Run builds the explorer with each mistake in turn and lets it look for it.
+// Run builds the explorer with each mistake in turn and runs it to see whether it finds the mistake.
 func (c *mutantsCmd) Run() error {
 	dir, err := os.MkdirTemp("", "explore")
 	if err != nil {
@@ -81,11 +81,11 @@
 	return nil
 }
 
-// failedRow is a line of a scripted meeting that broke a rule or whose tasks stayed too long.
+// failedRow matches the test output of a scripted schedule that broke a rule or whose tasks stayed too long.
 var failedRow = regexp.MustCompile(`(?m)^\s+[a-z_]+_test\.go:\d+: (.*?)(?:, (?:planimetra|donorline), seed \d+)?: (.*)$`)
 
-// scripted plays the scripted meetings with the mistake that was built last, and tells how many of
-// their rows find it, and the first that does.
+// scripted runs the scripted schedules with the mistake that was built last. It returns how many of their rows find
+// the mistake, and the first such row.
 func scripted(dir string) (string, error) {
 	out, err := exec.Command("go", "test", "-overlay", filepath.Join(dir, "overlay.json"), "-count=1", "-run", "^(TestGap|TestMeetings|TestFurtherMeetings|TestSaving|TestWrites|TestShrunk|TestGuards)$", "./internal/simtest").CombinedOutput()
 	var failed *exec.ExitError
@@ -106,7 +106,7 @@
 	return fmt.Sprintf("%d rows, first \"%s\": %s", len(rows), found[0][1], found[0][2]), nil
 }
 
-// build makes an explorer with the mistake in it.
+// build builds an explorer that contains the mistake.
 func (m mutant) build(dir string) (string, error) {
 	root, err := os.Getwd()
 	if err != nil {
--- a/internal/simtest/cmd/mutants_test.go
+++ b/internal/simtest/cmd/mutants_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// Each mistake still has a place in the sources: one whose guard was rewritten would be tried
-// no more, and nobody would miss it.
+// Each mutant must still apply to the sources: the quoted text occurs exactly once. Otherwise a mutant whose guard
+// was rewritten would silently no longer be tried.
 func TestMutantsApply(t *testing.T) {
 	for _, m := range mutants {
 		for _, e := range m.edits {
--- a/internal/simtest/cmd/regions.go
+++ b/internal/simtest/cmd/regions.go
@@ -24,7 +24,7 @@
 	if c.Repeat {
 		return c.tell(c.Seed)
 	}
-	debug.SetGCPercent(800) // what a schedule leaves is gone at once
+	debug.SetGCPercent(800) // a finished schedule leaves almost nothing alive
 	if c.Workers == 0 {
 		c.Workers = runtime.NumCPU()
 	}
--- a/internal/simtest/idle_capacity.go
+++ b/internal/simtest/idle_capacity.go
@@ -7,29 +7,29 @@
 	"github.com/marlwood/marlwood/internal/placement"
 )
 
-// idleFor is how long a task may wait beside room for it once the troubles are over, and lookEvery
-// how often that is looked at. The figure is the users'.
+// idleFor is how long a task may wait while there is free capacity for it, once the faults are over. The limit is a
+// requirement of the users. lookEvery is the interval of the check.
 const (
 	idleFor   = 90 * time.Second
 	lookEvery = time.Second
 )
 
-// lasts is until when a schedule is played: until all must be over, and for as long as idle_room takes
-// to break for what begins to wait up to 30 s after the last trouble. Services, which need not be
-// over, are looked at that long.
+// lasts returns the time until which a schedule is played. By then all jobs must be over, and the rule idle_room has
+// had time to break for tasks that begin to wait up to 30 s after the last fault. Services, which need not end, are
+// checked until then.
 func (p Plan) lasts() time.Duration { return max(p.bound(), p.calmFrom()+idleFor+30*time.Second) }
 
-// beside is since when tasks have waited while there was room for them all the time, by what is
-// really on the machines.
+// beside maps each waiting task to the time since which there has always been free capacity for it, judged by the
+// actual state of the machines.
 type beside map[placeOf]time.Duration
 
-// placeOf is a task, wherever it is.
+// placeOf identifies a task independently of its machine.
 type placeOf struct {
 	job   *job
 	index int
 }
 
-// watchIdleCapacity looks for idle room from a moment on.
+// watchIdleCapacity checks for unused capacity periodically from the given time on.
 func (w *cluster) watchIdleCapacity(from time.Duration) {
 	waits := beside{}
 	var look func()
@@ -40,8 +40,8 @@
 	w.sim.At(from, look)
 }
 
-// checkIdleCapacity takes in which tasks wait beside room now, and breaks idle_room for one that has for
-// too long.
+// checkIdleCapacity updates which tasks wait although there is free capacity for them, and reports idle_room as
+// broken for a task that has waited too long.
 func (w *cluster) checkIdleCapacity(waits beside, now time.Duration) {
 	for _, j := range w.all {
 		room := w.hasCapacityFor(j)
@@ -60,8 +60,8 @@
 	}
 }
 
-// hasCapacityFor tells whether a job that may run has tasks that wait, and there is room for one of them,
-// for all of a gang, by its team's limit and on the machines.
+// hasCapacityFor reports whether a job that may run has waiting tasks, and its team's limit and the machines have
+// capacity for one of them, or for all tasks if it is a gang.
 func (w *cluster) hasCapacityFor(j *job) bool {
 	if !j.accepted || j.told.Final() || j.hopeless() || j.allDone() {
 		return false
@@ -72,8 +72,8 @@
 		}
 	}
 	gang, left, on := j.spec.Shape == model.Gang, 0, 0
-	zones := map[string]int{} // of its tasks
-	used := model.Size{}      // by its team
+	zones := map[string]int{} // number of its tasks by zone
+	used := model.Size{}      // usage of its team
 	for _, m := range w.cloud.machines {
 		for _, t := range m.tasks {
 			if m.terminated || t.state == model.TaskExited || t.job.spec.Team != j.spec.Team {
@@ -92,13 +92,13 @@
 		}
 	}
 	wanted := 1
-	if gang { // what is left of an attempt goes before the next one, and its room counts as free
+	if gang { // the tasks of the last attempt end before the next one starts, so their capacity counts as free
 		wanted, zones, used = j.spec.Tasks, map[string]int{}, used.Sub(j.spec.Size.Times(on))
 	}
 	if left == 0 || !w.plan.teams()[j.spec.Team].WithinLimit(used.Add(j.spec.Size.Times(wanted))) {
 		return false
 	}
-	found := map[string]int{} // tasks that there is room for, by zone
+	found := map[string]int{} // number of tasks that fit, by zone
 	total := 0
 	for _, m := range w.cloud.machines {
 		if !w.mayTake(m) || m.spot && !j.spec.Spot || j.spec.Zone != "" && j.spec.Zone != m.pool.Zone ||
@@ -111,8 +111,8 @@
 				room = room.Add(j.spec.Size)
 			}
 		}
-		// Of a job that is spread over zones, each may take so many; all machines are of one type,
-		// so filling one after the other finds room for as many as there is room for at all.
+		// Each zone may take at most ZoneCap tasks of a job that is spread over zones. All machines are of one type,
+		// so filling them one after the other finds the maximum number of tasks that fit.
 		n := min(j.spec.Size.Slots(room), j.spec.ZoneCap()-zones[m.pool.Zone]-found[m.pool.Zone])
 		found[m.pool.Zone] += max(0, n)
 		total += max(0, n)
@@ -128,7 +128,7 @@
 	return false
 }
 
-// placed tells whether a task is on a machine, or a machine fetches its image.
+// placed reports whether a task is on a machine or a machine fetches its image.
 func (w *cluster) placed(j *job, index int) bool {
 	for _, m := range w.cloud.machines {
 		if !m.terminated {
@@ -140,8 +140,8 @@
 	return false
 }
 
-// mayTake tells whether tasks could be started on a machine: it is up, every controller and it can
-// talk (see mute), and no operator drains it. Whatever the leader thinks of it does not matter.
+// mayTake reports whether tasks could be started on a machine: it is up, it and every controller can reach each
+// other (see mute), and no operator drains it. The leader's view of the machine does not matter.
 func (w *cluster) mayTake(m *worker) bool {
 	if !m.up || m.terminated || m.down || m.hung || w.sim.Now() < m.mute || w.drained[m.name] || w.drained["zone "+m.pool.Zone] ||
 		w.recorded(placement.NodeScope, m.name) || w.recorded(placement.ZoneScope, m.pool.Zone) {
@@ -157,7 +157,7 @@
 	return true
 }
 
-// recorded tells whether a drain is in force, told of or not.
+// recorded reports whether a drain is stored, whether or not an operator has got a confirmation.
 func (w *cluster) recorded(scope placement.Scope, name string) bool {
 	_, err := w.store.Get((&placement.Drain{Scope: scope, Name: name}).Key())
 	return err == nil
--- a/internal/simtest/machines.go
+++ b/internal/simtest/machines.go
@@ -10,7 +10,7 @@
 	"github.com/marlwood/marlwood/internal/workers"
 )
 
-// The protocol's times, short, so that a schedule is short.
+// Durations of the protocol, shortened so that a schedule is short.
 const (
 	reportEvery = time.Second
 	gangWait    = 8 * time.Second
@@ -18,11 +18,12 @@
 	listLag     = 2 * time.Second
 )
 
-// cloud rents machines, up to a number at once of each kind, ordinary and spot.
+// cloud is the simulated cloud provider. It runs up to Plan.Machines machines at the same time per pool, ordinary
+// and spot machines counted separately.
 type cloud struct {
 	cluster        *cluster
 	place          *place
-	machines       []*worker // in order of their names
+	machines       []*worker // in the order of their names
 	launchRequests map[string][]string
 }
 
@@ -113,7 +114,7 @@
 	return out, nil
 }
 
-// worker is one machine, which follows the protocol to the letter.
+// worker is a simulated machine with a worker that follows the protocol exactly.
 type worker struct {
 	cluster    *cluster
 	place      *place
@@ -122,27 +123,27 @@
 	spot       bool
 	rented     time.Duration
 	ended      time.Duration
-	shown      time.Duration // how long it is listed after that
+	shown      time.Duration // how long the cloud still lists it after its end
 	up         bool
 	upAt       time.Duration
 	terminated bool
-	down       bool // ended, and back soon
-	life       int  // of the worker: how often the machine was back
+	down       bool // ended, and restarts soon
+	life       int  // number of restarts of the machine and its worker
 	hung       bool
-	hungAt     time.Duration // since when
-	stood      time.Duration // how long it hung, in all
-	queue      []func()      // what came while it hung
+	hungAt     time.Duration // when the current hang began
+	stood      time.Duration // total time that it hung
+	queue      []func()      // events that arrived while it hung
 	drift      float64
 
 	session, seq, token uint64
-	leased              time.Duration // when the last answered report was sent, or the session began
+	leased              time.Duration // when the last answered heartbeat was sent, or the session began
 	tasks               []*copyOf
 	reportTo            int
-	sent                uint64 // number of the report that is awaited, 0: none
+	sent                uint64 // number of the heartbeat that awaits an answer, 0: none
 	reports             uint64
-	due                 time.Duration // the next report
-	mute                time.Duration // until then it reaches no controller, while direct calls reach it
-	reported            time.Duration // the last one
+	due                 time.Duration // when the next heartbeat is due
+	mute                time.Duration // until then it reaches no controller, but direct calls reach it
+	reported            time.Duration // when the last heartbeat was sent
 }
 
 // copyOf is one attempt of a task on a machine.
@@ -152,13 +153,13 @@
 	attempt uint64
 	state   model.TaskState
 	cause   model.Cause
-	ranAt   time.Duration // since when it runs; 0: it does not
-	on      bool          // has its image and has not ended: it is on its machine
-	from    time.Duration // progress that it began with
-	reached time.Duration // progress when it began to save; 0: it did not
-	stored  bool          // has saved, and waits for its gang
-	saved   bool          // ended with its progress saved
-	caught  bool          // was saving when its job was cancelled
+	ranAt   time.Duration // when it began to run; 0: it is not running
+	on      bool          // whether it counts as on its machine: it has its image and has not ended
+	from    time.Duration // progress at its start
+	reached time.Duration // progress when it began to save; 0: it has not
+	stored  bool          // whether it has saved and waits for its gang
+	saved   bool          // whether it ended with its progress saved
+	caught  bool          // whether it was saving when the cancellation of its job was confirmed
 }
 
 func newWorker(w *cluster, name string, pool model.Pool, spot bool) *worker {
@@ -166,7 +167,7 @@
 		rented: w.sim.Now(), drift: (w.sim.Rand.Float64()*2 - 1) * 0.0005, reportTo: w.sim.Rand.IntN(len(w.nodes))}
 }
 
-// enter has the machine do something now, or when it hangs no more.
+// enter runs do on the machine now, or when the machine no longer hangs. A machine that has ended drops it.
 func (m *worker) enter(do func()) {
 	switch {
 	case m.terminated, m.down:
@@ -205,8 +206,8 @@
 	m.kick()
 }
 
-// watchLease ends the session with its lease, hung or not: no machine resumes its
-// tasks after that.
+// watchLease ends the session when its lease expires, also while the machine hangs: no machine resumes its tasks
+// after that.
 func (m *worker) watchLease(session uint64) {
 	m.cluster.sim.At(m.leaseEnds(), func() {
 		switch {
@@ -219,7 +220,7 @@
 	})
 }
 
-// end takes the machine away with all that is on it.
+// end removes the machine and all its tasks.
 func (m *worker) end(why string) {
 	if m.terminated {
 		return
@@ -237,8 +238,8 @@
 	}
 }
 
-// back ends the machine with all that is on it; its worker begins anew soon after, under
-// the same name and address, and knows nothing.
+// back ends the machine and all its tasks. After the given time its worker restarts under the same name and address
+// with empty state.
 func (m *worker) back(after time.Duration) {
 	if m.down {
 		return
@@ -276,7 +277,7 @@
 	})
 }
 
-// message is the machine's report as of now.
+// message returns the machine's current heartbeat.
 func (m *worker) message() *model.Heartbeat {
 	m.seq++
 	r := &model.Heartbeat{Machine: m.name, Addr: m.name, Type: m.pool.Type, Zone: m.pool.Zone, Spot: m.spot,
@@ -287,7 +288,7 @@
 	return r
 }
 
-// kick has the next report come soon: something changed.
+// kick schedules the next heartbeat soon, because something changed.
 func (m *worker) kick() { m.schedule(max(m.cluster.sim.Now(), m.reported+500*time.Millisecond)) }
 
 func (m *worker) schedule(at time.Duration) {
@@ -302,7 +303,7 @@
 	})
 }
 
-// report sends a report, one at a time.
+// report sends a heartbeat, unless one still awaits its answer.
 func (m *worker) report() {
 	s := m.cluster.sim
 	if m.sent != 0 || !m.up || m.down {
@@ -326,7 +327,7 @@
 		})
 	}, nil)
 	if s.Now() < m.cluster.copies && s.Rand.IntN(3) == 0 {
-		s.After(s.Between(100*time.Millisecond, 3*m.cluster.plan.Lease), func() { // its answer reaches nobody
+		s.After(s.Between(100*time.Millisecond, 3*m.cluster.plan.Lease), func() { // the answer is dropped
 			n.process.Enter(func() { n.node.HandleHeartbeat(n.Now(), r, func(workers.HeartbeatResult) {}) })
 		})
 	}
@@ -340,7 +341,7 @@
 	}
 }
 
-// next goes to the next controller after a pause.
+// next switches to the next controller and sends the next heartbeat after a pause.
 func (m *worker) next(id uint64) {
 	const pause = time.Second
 	if m.sent != id {
@@ -372,7 +373,7 @@
 	m.sent = 0
 	m.schedule(sent + s.Between(m.cluster.plan.report()*3/4, m.cluster.plan.report()*5/4))
 	if v.Token < m.token {
-		return // dropped: neither orders nor lease
+		return // an answer with an older token is dropped: it neither carries out commands nor renews the lease
 	}
 	m.leased = max(m.leased, sent)
 	m.sees(v.Token)
@@ -386,7 +387,7 @@
 	}
 }
 
-// orders is a direct call.
+// orders handles a direct call with commands.
 func (m *worker) orders(o model.DirectCommands) (int, *model.Heartbeat) {
 	if o.Token < m.token || o.Session != m.session {
 		return 409, m.message()
@@ -456,7 +457,7 @@
 	}
 }
 
-// freeExcept is what is free for a task that is on the machine's list already.
+// freeExcept returns the free capacity of the machine, not counting the given task, which is already on its list.
 func (m *worker) freeExcept(but *copyOf) model.Size {
 	room := machineType.Size
 	for _, t := range m.tasks {
@@ -476,7 +477,7 @@
 	return false
 }
 
-// fetched begins a task that has its image.
+// fetched handles the end of a task's image fetch: the task is on its machine from then on.
 func (m *worker) fetched(t *copyOf) {
 	if !m.has(t) {
 		return
@@ -559,7 +560,7 @@
 	m.kick()
 }
 
-// off takes a task off its machine. The rest of a running gang notices.
+// off removes a task from its machine. The other tasks of a running gang exit when they notice that.
 func (m *worker) off(t *copyOf) {
 	if !t.on {
 		return
--- a/internal/simtest/rare_faults.go
+++ b/internal/simtest/rare_faults.go
@@ -16,39 +16,39 @@
 	"github.com/marlwood/marlwood/internal/workers"
 )
 
-// Met names what troubles brought about, as the models saw it: a scripted meeting that
-// did not take place shows nothing.
+// Met is a kind of event that faults caused and the simulation observed. Tests use the counts to check that a
+// scripted combination of faults did take place, as otherwise it shows nothing.
 type Met int
 
-// What is counted.
+// The kinds of events that are counted.
 const (
 	MetLeader          Met = iota // another process leads
-	MetToken                      // the leader took a fresh token: kinds change hands, or a doubt is settled
-	MetUnansweredWrite            // a transaction was carried out at once and its answer lost
-	MetLateWrite                  // a transaction was carried out late, and changed something
-	MetCloseLook                  // an answer within milliseconds of news
-	MetAtEnd                      // an answer to a cancellation that was sent as the last task ended
-	MetAtEndDone                  // it said that the job is done
-	MetOutOfReach                 // a job was confirmed as cancelled with a task on a machine that hangs, is cut off, deaf or mute
-	MetAtLimit                    // the same, and its team was at its limit
-	MetOldReport                  // an old report reached a controller as a leader began, or after it had acted
-	MetNewMachine                 // a task began within three seconds of its machine's beginning, while writes lagged
+	MetToken                      // the leader took a new fencing token: pools change owners, or an unknown outcome is resolved
+	MetUnansweredWrite            // a transaction was applied at once and its answer lost
+	MetLateWrite                  // a transaction was applied late and changed something
+	MetCloseLook                  // a user's request was sent within milliseconds after a change of a job's stage
+	MetAtEnd                      // a cancellation sent as the last task ended was followed by a final stage
+	MetAtEndDone                  // the same, and the job was reported as done
+	MetOutOfReach                 // a cancellation was confirmed with a task on a machine that hangs or cannot exchange messages with the leader
+	MetAtLimit                    // the same, and the job's team was at its limit
+	MetOldReport                  // an old heartbeat reached a controller when a leader began, or after it had acted
+	MetNewMachine                 // a task began within three seconds after its machine came up, while writes were late or unanswered
 	MetMuteTask                   // a machine with tasks reached no controller
-	MetCallToMute                 // a direct call was carried out there
-	MetZoneLoses                  // a machine ended with a task that may be in its zone only
-	MetBadRequest                 // a bad submission was refused, or a question about a job that nobody submitted
-	MetHandover                   // a cancellation was confirmed within five seconds of a fresh token
-	MetAllAway                    // no controller was there for as long as a lease
-	MetZoneCut                    // a zone with a controller and running tasks was cut off
+	MetCallToMute                 // a direct call was carried out on a machine that reached no controller
+	MetZoneLoses                  // a machine ended with a task that is restricted to its zone
+	MetBadRequest                 // a bad submission, or a request about a job that nobody submitted, was refused
+	MetHandover                   // a cancellation was confirmed within five seconds before or after a new fencing token
+	MetAllAway                    // no controller was running one lease after all had crashed
+	MetZoneCut                    // a machine with tasks was in a zone that was cut off for longer than a lease
 	MetKinds
 )
 
-// The further troubles that are drawn: of a controller's end, of a machine, of users.
+// rareFaultKinds are the additional fault kinds that RareFaults draws: of controllers, machines and users.
 var rareFaultKinds = []string{"lost answers", "lost answers", "copies for the next", "copies for the next", "close looks", "close looks", "close looks", "cancel at end", "cancel at end",
 	"cancel now", "cancel now", "mute machine", "mute machine", "mute zone", "odd requests", "late writes", "crash", "crash back", "outage", "hang machine"}
 
-// RareFaults draws schedules in which further troubles meet what Meetings draws: one to three of them, each
-// near the beginning or the end of another; in a quarter of them every team has a limit.
+// RareFaults draws schedules that add one to three faults of rareFaultKinds to those of OverlappingFaults, each near
+// the start or the end of another fault. In a quarter of the schedules every team has a limit.
 var RareFaults = rapid.Custom(func(t *rapid.T) Plan {
 	p := OverlappingFaults.Draw(t, "plan")
 	var edges []time.Duration
@@ -65,26 +65,25 @@
 	p.Limits = rapid.IntRange(0, 3).Draw(t, "limits") == 3
 	for i := range p.Jobs {
 		if j := &p.Jobs[i]; p.Limits && (j.Shape != model.Array || j.Tasks > 2) {
-			j.Tasks = min(j.Tasks, 2) // all that its team's limit has room for
+			j.Tasks = min(j.Tasks, 2) // its team's limit allows no more
 		}
 	}
 	return p
 })
 
-// rareFaults are the troubles of the users' second page of meetings, until when each lasts, and what
-// they keep.
+// rareFaults holds the time until which each of the rare faults lasts, and their state.
 type rareFaults struct {
 	unansweredWrites, keepReports, closeLooks, cancelAtEnd, badRequests time.Duration
 
-	kept            []*model.Heartbeat // for the next leader
-	leader          string             // the process that leads
-	token           uint64             // its token, until a task begins under it
+	kept            []*model.Heartbeat // heartbeats kept to be delivered again under the next leader
+	leader          string             // the process that is the leader
+	token           uint64             // the leader's fencing token, reset to 0 when a task begins under it
 	badRequestCount int                // bad submissions
 
-	tokenAt, confirmedAt time.Duration // when the leader took its token; when a cancellation was confirmed last
+	tokenAt, confirmedAt time.Duration // when the leader took its token; when a cancellation was last confirmed
 }
 
-// begin begins one of these faults; false: it is another.
+// begin starts a rare fault. It returns false if the fault is of another kind.
 func (x *rareFaults) begin(w *cluster, f Fault, m *worker) bool {
 	s := w.sim
 	until := s.Now() + f.For
@@ -118,7 +117,7 @@
 	return true
 }
 
-// silence has a machine reach no controller, while direct calls reach it.
+// silence makes a machine reach no controller until the given time, while direct calls still reach it.
 func (w *cluster) silence(m *worker, until time.Duration) {
 	m.mute = max(m.mute, until)
 	if m.busy() {
@@ -126,7 +125,7 @@
 	}
 }
 
-// busy tells that tasks are on a machine.
+// busy reports whether tasks are on a machine.
 func (m *worker) busy() bool {
 	for _, t := range m.tasks {
 		if t.on {
@@ -136,8 +135,8 @@
 	return false
 }
 
-// cancelNow has users cancel up to three jobs that run, within a fifth of a second; with Hold, their
-// machines hang.
+// cancelNow makes users cancel up to three running jobs within a fifth of a second. With Hold, the machines of
+// these jobs hang.
 func (w *cluster) cancelNow(f Fault) {
 	n := 0
 	for _, j := range w.all {
@@ -160,8 +159,8 @@
 	}
 }
 
-// lookClosely has a job's user ask all controllers, and repeat the submission, within milliseconds
-// after news; some cancel at once.
+// lookClosely makes a job's user query all controllers and repeat the submission within milliseconds after the job's
+// stage changed. Some users also cancel at once.
 func (w *cluster) lookClosely(j *job) {
 	if w.sim.Now() >= w.rare.closeLooks {
 		return
@@ -186,7 +185,7 @@
 	}
 }
 
-// lastDone has a job's user cancel it, ask and submit it again at all controllers as its last task ends.
+// lastDone makes a job's user cancel, query and resubmit it at all controllers as its last task ends.
 func (w *cluster) lastDone(j *job) {
 	if w.sim.Now() >= w.rare.cancelAtEnd || !j.allDone() || j.told.Final() {
 		return
@@ -208,7 +207,7 @@
 	}
 }
 
-// notOlder checks an answer against what its user had been told before asking.
+// notOlder checks that an answer is not older than what its user had been told before the request.
 func (w *cluster) notOlder(j *job, what string, n *node, a httpwire.Answer, known bool, before model.Stage) {
 	if a.Status != 200 && a.Status != 201 {
 		if known && (a.Status == 404 || a.Status == 400 || a.Status == 422) {
@@ -226,7 +225,7 @@
 	}
 }
 
-// age orders what users are told: none may be told of an earlier one after a later one.
+// age returns the position of a stage in the order of stages. No user may see an earlier stage after a later one.
 func age(s model.Stage) int {
 	switch s {
 	case "":
@@ -239,8 +238,8 @@
 	return 3
 }
 
-// sendBadRequests has users send what is to be refused, ask about jobs that nobody submitted, and
-// repeat submissions of known jobs with another body.
+// sendBadRequests makes users send submissions that must be refused, query jobs that nobody submitted, and repeat
+// submissions of known jobs with another body.
 func (w *cluster) sendBadRequests(until time.Duration) {
 	for w.sim.Now() < until {
 		w.users.Sleep(w.sim.Between(100*time.Millisecond, 900*time.Millisecond))
@@ -266,7 +265,7 @@
 		case 4:
 			body["yard"] = "nowhere"
 		}
-		if w.sim.Rand.IntN(2) == 0 && j.accepted { // a known job's, whatever its body says
+		if w.sim.Rand.IntN(2) == 0 && j.accepted { // a repeated submission of a known job with a changed body
 			raw, _ := json.Marshal(body)
 			w.via(j, "submission", n, func(n *node) httpwire.Answer { return n.node.API().Submit(context.Background(), raw) })
 			continue
@@ -288,7 +287,7 @@
 	}
 }
 
-// confirmed takes in what a cancellation that a user was told of meets.
+// confirmed counts the circumstances under which a cancellation was confirmed to a user.
 func (w *cluster) confirmed(j *job) {
 	w.rare.confirmedAt = w.sim.Now()
 	w.rare.handover(w, w.rare.confirmedAt, w.rare.tokenAt)
@@ -309,14 +308,14 @@
 	}
 }
 
-// handover counts a cancellation and a fresh token that are near each other.
+// handover counts a confirmed cancellation and a new fencing token that are at most five seconds apart.
 func (x *rareFaults) handover(w *cluster, later, earlier time.Duration) {
 	if earlier > 0 && later-earlier <= 5*time.Second {
 		w.met[MetHandover]++
 	}
 }
 
-// outOfReach tells that a machine hangs, or that between it and whoever leads nothing gets through.
+// outOfReach reports whether a machine hangs, is mute, or cannot exchange messages with the leader.
 func (w *cluster) outOfReach(m *worker) bool {
 	n := w.controller(len(w.nodes))
 	_, _, in := w.net.blocked(n.place, m.place)
@@ -324,14 +323,14 @@
 	return in || away || m.hung || w.sim.Now() < m.mute
 }
 
-// keep keeps a report for the next leader.
+// keep stores a heartbeat to be delivered again under the next leader.
 func (w *cluster) keep(r *model.Heartbeat) {
 	if w.sim.Now() < w.rare.keepReports && len(w.rare.kept) < 200 {
 		w.rare.kept = append(w.rare.kept, r)
 	}
 }
 
-// wrote takes in a transaction that was carried out: another leader, or a fresh token.
+// wrote handles an applied transaction: it detects a new leader or a new fencing token.
 func (w *cluster) wrote(t store.Txn) {
 	for _, c := range t.Writes {
 		if c.Set != leadership.Key {
@@ -356,7 +355,7 @@
 	}
 }
 
-// acted takes in that a task began: the first under a leader's token shows that it has acted.
+// acted handles the start of a task. The first start under a leader's token shows that the leader has acted.
 func (w *cluster) acted(m *worker, attempt uint64) {
 	x := &w.rare
 	if x.token != 0 && attempt>>20 == x.token {
@@ -370,11 +369,12 @@
 	}
 }
 
-// soonAfter is when kept reports come after a leader has its key, and after it has acted: before
-// controllers have heard of it, and before and while machines report to their owners under its token.
+// soonAfter are the delays with which kept heartbeats arrive after a leader took the leader key, and after it has
+// acted. They cover the time before the controllers know the leader, and the time before and while machines send
+// heartbeats to their owners under its token.
 var soonAfter = []time.Duration{0, 100 * time.Millisecond, 300 * time.Millisecond, 700 * time.Millisecond, 1200 * time.Millisecond, 2 * time.Second}
 
-// deliverKept has every controller get each report that was kept; their answers reach nobody.
+// deliverKept delivers each kept heartbeat to every controller and drops the answers.
 func (w *cluster) deliverKept() {
 	for i, r := range w.rare.kept {
 		for _, n := range w.nodes {
@@ -388,7 +388,7 @@
 	}
 }
 
-// zoneCut takes in that a zone is cut off, for longer than a lease or not.
+// zoneCut counts the machines with tasks in a zone that is cut off for longer than a lease.
 func (w *cluster) zoneCut(zone string, d time.Duration) {
 	for _, m := range w.cloud.machines {
 		if d > w.plan.Lease && m.pool.Zone == zone && m.busy() {
@@ -397,7 +397,7 @@
 	}
 }
 
-// allAway takes in whether no controller is there, a lease after all had ended.
+// allAway counts the case that no controller is running. It is called one lease after all controllers crashed.
 func (w *cluster) allAway() {
 	for _, n := range w.nodes {
 		if !n.process.Dead() {
@@ -407,7 +407,7 @@
 	w.met[MetAllAway]++
 }
 
-// String names what came about, as reports list it.
+// String returns the name of the event as it appears in test output.
 func (m Met) String() string {
 	return [...]string{"another leader", "a fresh token", "an answer lost", "a late write", "a close look", "a cancellation at the end", "done against a cancellation",
 		"cancelled out of reach", "cancelled out of reach at a limit", "an old report", "a new machine while writes lag", "a busy machine mute", "a call to a mute machine",
--- a/internal/simtest/regions.go
+++ b/internal/simtest/regions.go
@@ -15,15 +15,15 @@
 	"github.com/marlwood/marlwood/internal/store"
 )
 
-// regionNames are those of the regions of a schedule.
+// regionNames are the names of the regions of a schedule.
 var regionNames = []string{"north", "south", "west"}
 
-// sharedLimit is what team "tight" may use in all regions together, in CPUs: tasks take two.
+// sharedLimit is the limit of team "tight" over all regions, in CPUs. A task takes two CPUs.
 const sharedLimit = 24
 
 var sharedTeams = map[string]model.Team{"free": {Name: "free"}, "tight": {Name: "tight", Limit: model.Size{CPUs: sharedLimit}}}
 
-// regionSet are deployments of their own in one time, which share teams' limits.
+// regionSet is a set of separate deployments in the same virtual time that share the teams' limits.
 type regionSet struct {
 	sim      *sim
 	clusters []*cluster
@@ -35,7 +35,7 @@
 	Seed    uint64
 	Regions []Plan
 	Cuts    []RegionCut
-	Steps   float64 // share of the writes of accounts at which something goes wrong
+	Steps   float64 // share of the account writes for which a fault is injected
 }
 
 // RegionCut cuts a region off from the others.
@@ -45,7 +45,7 @@
 	Hold    bool
 }
 
-// others are the settings' other regions, as the index-th has them.
+// others returns the setting that lists the other regions, for the region with the given index.
 func (r *regionSet) others(index int) string {
 	var out []string
 	for i, name := range regionNames {
@@ -63,7 +63,7 @@
 
 func regionAddr(region, member int) string { return fmt.Sprintf("10.%d.0.%d:8081", region, member) }
 
-// at finds a controller by its address.
+// at returns the controller with the given address, or nil.
 func (r *regionSet) at(addr string) *node {
 	for i, w := range r.clusters {
 		for member, n := range w.nodes {
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// usedBy is what the tasks of a team use in all regions.
+// usedBy returns what the tasks of a team use in all regions.
 func (r *regionSet) usedBy(team string) (used model.Size) {
 	for _, w := range r.clusters {
 		used = used.Add(w.usedBy(team))
@@ -83,7 +83,7 @@
 	return used
 }
 
-// regionLink carries messages to a controller of another region.
+// regionLink sends messages to a controller of another region.
 type regionLink struct{ from, to *node }
 
 // Exchange sends a message and waits for the answer.
@@ -128,7 +128,7 @@
 	return false
 }
 
-// accounts are what the regions' state services hold of a team; ok is false for one that has none yet.
+// account returns the quota account of a team in a region's state service; ok is false if there is none yet.
 func (r *regionSet) account(region int, team string) (a quota.Account, ok bool) {
 	it, err := r.clusters[region].store.Get("quota/" + team)
 	if err != nil {
@@ -137,7 +137,8 @@
 	return a, json.Unmarshal(it.Value, &a) == nil
 }
 
-// checkAllocations breaks when more or less than the limit is allocated and on its way.
+// checkAllocations reports the rule "allocated" as broken if the allocations and the transfers in flight add up to
+// more than the limit, or to less once every region has an account.
 func (r *regionSet) checkAllocations() {
 	sum, begun := quota.Amount{}, 0
 	for i, name := range regionNames {
@@ -160,8 +161,8 @@
 	}
 }
 
-// stumble draws what becomes of a write of an account: a leader that ends before or after it, an answer
-// that is lost, a write that is carried out late.
+// stumble returns a function that draws the outcome of an account write: the leader crashes before or after it, its
+// answer is lost, or it is applied late.
 func (r *regionSet) stumble(share float64) func(c storeClient, t store.Txn) fate {
 	return func(c storeClient, t store.Txn) fate {
 		ofAccount := len(t.Writes) > 0 && strings.HasPrefix(t.Writes[0].Set, "quota/")
@@ -239,7 +240,7 @@
 	return r
 }
 
-// takes is how long all jobs take one after the other.
+// takes returns twice the summed duration of all jobs.
 func (p RegionPlan) takes() (out time.Duration) {
 	for _, plan := range p.Regions {
 		for _, j := range plan.Jobs {
@@ -256,7 +257,7 @@
 	})
 }
 
-// served tells that all cuts have ended and every job is over.
+// served reports whether all cuts have ended and every job is over.
 func (r *regionSet) served(p RegionPlan) bool {
 	for _, c := range p.Cuts {
 		if r.sim.Now() < c.At+c.For {
@@ -271,7 +272,7 @@
 	return true
 }
 
-// allServed breaks not_served for jobs that are not over at the end.
+// allServed reports not_served as broken for jobs that are not over at the end.
 func (r *regionSet) allServed() {
 	for i, w := range r.clusters {
 		for _, j := range w.all {
@@ -282,9 +283,8 @@
 	}
 }
 
-// DrawRegions draws a schedule of three regions: demand that shifts, controllers and state services
-// that fail, regions that are cut off, one in ten times for an hour, and leaders that end at each step of
-// a transfer.
+// DrawRegions draws a schedule of three regions: shifting demand, failures of controllers and state services, regions
+// that are cut off (one in ten of them for an hour), and leaders that crash at each step of a transfer.
 func DrawRegions(seed uint64) RegionPlan {
 	rnd := rand.New(rand.NewPCG(seed, 7))
 	between := func(least, most time.Duration) time.Duration {
--- a/internal/simtest/users.go
+++ b/internal/simtest/users.go
@@ -11,23 +11,23 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// job is a job as its user and the world know it, whatever controllers think.
+// job is the actual state of a job, as seen by its user and on the machines, independent of the controllers' view.
 type job struct {
 	id       string
 	spec     *model.Job
-	body     []byte // of its submission
+	body     []byte // body of its submission
 	needs    []*job
 	takes    time.Duration
 	finished []bool
-	on       map[int]*worker // tasks that are on a machine
+	on       map[int]*worker // machines of the tasks that are on one, by task index
 	kept     map[int]time.Duration
-	halts    map[uint64]*halt // by attempt
+	halts    map[uint64]*halt // coordinated stops of a gang by attempt
 
 	accepted        bool
-	told            model.Stage   // the last answer
+	told            model.Stage   // stage in the last answer
 	toldAt          time.Duration // when
-	acceptedAt      time.Duration // when any question, submission or cancellation was answered last
-	cancelled       time.Duration // when its user, or that of a job it needs, was told; -1: not
+	acceptedAt      time.Duration // when a query, submission or cancellation was last answered
+	cancelled       time.Duration // when the cancellation of it or of a job it needs was confirmed; -1: not cancelled
 	cancelRequested bool
 }
 
@@ -40,7 +40,7 @@
 	return true
 }
 
-// hopeless tells whether the job or one before it was asked to be cancelled.
+// hopeless reports whether a cancellation of the job or of a job that it needs was requested.
 func (j *job) hopeless() bool {
 	for _, n := range j.needs {
 		if n.hopeless() {
@@ -50,8 +50,7 @@
 	return j.cancelRequested
 }
 
-// submit begins a user's job: submission, questions until it is over, and maybe a
-// cancellation.
+// submit starts a user's job: the user submits it, queries it until it is over, and may cancel it.
 func (w *cluster) submit(i int, s Submission) {
 	id := fmt.Sprintf("req-%d", i)
 	spec := &model.Job{ID: id, Class: "class", Team: teamNames[s.Team], Shape: s.Shape, Priority: cmp.Or(s.Priority, model.Normal), Tasks: s.Tasks,
@@ -81,7 +80,7 @@
 			w.ask(j, "question", j.question)
 		}
 		w.users.Sleep(3 * time.Second)
-		for range 3 { // later questions and a repeat, at any node
+		for range 3 { // later queries and a repeated submission, at any node
 			w.users.Sleep(w.sim.Between(0, 2*time.Second))
 			w.ask(j, "question", j.question)
 		}
@@ -95,7 +94,7 @@
 	}
 }
 
-// What users ask of a controller about a job.
+// submission, question and cancellation are the requests that users send to a controller about a job.
 func (j *job) submission(n *node) httpwire.Answer {
 	return n.node.API().Submit(context.Background(), j.body)
 }
@@ -106,7 +105,7 @@
 	return n.node.API().Cancel(context.Background(), j.id)
 }
 
-// callOff has a user cancel a job, again and again until it is over.
+// callOff makes a user cancel a job, repeatedly until it is over.
 func (w *cluster) callOff(j *job, beside bool) {
 	for !j.accepted {
 		w.users.Sleep(time.Second)
@@ -120,13 +119,13 @@
 	}
 }
 
-// ask has a user ask something.
+// ask makes a user send a request to a random controller.
 func (w *cluster) ask(j *job, what string, do func(n *node) httpwire.Answer) {
 	w.via(j, what, w.choose(false), do)
 }
 
-// via has a user ask a controller something. An answer to what was asked before the user was told
-// more is no news; to what was asked after it, it must not be older.
+// via makes a user send a request to a controller. If the user got a later answer while the request was under way,
+// its answer is only checked, not taken over. No answer may be older than what the user knew when sending.
 func (w *cluster) via(j *job, what string, n *node, do func(n *node) httpwire.Answer) {
 	sent, known, before := w.sim.Now(), j.accepted, j.told
 	a := w.request(n, do)
@@ -136,7 +135,7 @@
 	}
 }
 
-// choose draws a controller; beside: one that the state service does not refuse, if there is one.
+// choose draws a controller. With beside, it draws one that the state service does not refuse, if there is one.
 func (w *cluster) choose(beside bool) *node {
 	i := w.sim.Rand.IntN(len(w.nodes))
 	for k := range w.nodes {
@@ -147,7 +146,7 @@
 	return w.nodes[i]
 }
 
-// request asks a controller and waits up to five seconds; status 0: no answer.
+// request sends a request to a controller and waits up to five seconds; status 0 means no answer.
 func (w *cluster) request(n *node, do func(n *node) httpwire.Answer) httpwire.Answer {
 	if n.process.Dead() {
 		return httpwire.Answer{}
@@ -159,7 +158,7 @@
 	return a
 }
 
-// hear takes in what a user was told, and checks it.
+// hear records and checks the answer that a user got.
 func (w *cluster) hear(j *job, what string, a httpwire.Answer) {
 	s := w.sim
 	switch {
@@ -204,8 +203,7 @@
 	}
 }
 
-// known checks that each job that is still asked about was known to a user since the last
-// trouble ended.
+// known checks that for each job that is not over, a request has been answered since the last fault ended.
 func (w *cluster) known(since time.Duration) {
 	for _, j := range w.all {
 		if j.accepted && !j.told.Final() && j.acceptedAt < since {
@@ -214,8 +212,7 @@
 	}
 }
 
-// cancelled takes in that a user was told that a job is cancelled; so are those
-// that need it.
+// cancelled handles the confirmation of a cancellation to a user. Jobs that need the job are then cancelled too.
 func (w *cluster) cancelled(j *job) {
 	if j.cancelled >= 0 {
 		return
@@ -238,7 +235,7 @@
 	}
 }
 
-// began checks the rules when a task begins to be on a machine.
+// began checks the rules when a task begins to occupy a machine.
 func (w *cluster) began(m *worker, t *copyOf) {
 	s, j := w.sim, t.job
 	name := model.TaskName(j.id, t.index)
@@ -287,7 +284,7 @@
 	}
 }
 
-// usedBy is what the tasks of a team use in this world.
+// usedBy returns what the tasks of a team use in this cluster.
 func (w *cluster) usedBy(team string) (used model.Size) {
 	for _, o := range w.all {
 		if o.spec.Team == team {
@@ -297,7 +294,7 @@
 	return used
 }
 
-// left takes a task off the books of the world.
+// left removes a task that has ended from its job's list of placed tasks.
 func (w *cluster) left(m *worker, t *copyOf) {
 	if t.job.on[t.index] == m {
 		delete(t.job.on, t.index)
