--- a/internal/simtest/checkpoints_test.go
+++ b/internal/simtest/checkpoints_test.go
@@ -8,7 +8,7 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// The protocol on stops of tasks with checkpoints, of which each saves for four seconds.
+// Stop commands follow the protocol for tasks with checkpoints. Each task needs four seconds to save.
 func TestStops(t *testing.T) {
 	type at struct {
 		w *cluster
@@ -28,7 +28,7 @@
 			c.m[i].obey([]model.Command{{Op: "stop", Task: model.TaskName(x.job.id, x.index), Attempt: x.attempt, GraceS: &windDown}})
 		})
 	}
-	again := func(c at, i int) { // under the same attempt
+	again := func(c at, i int) { // starts the task again under the same attempt
 		c.t[i] = &copyOf{job: c.t[i].job, index: i, attempt: 1, state: model.TaskWaitingForGang, on: true}
 		c.m[i].tasks = []*copyOf{c.t[i]}
 		c.w.began(c.m[i], c.t[i])
@@ -47,7 +47,7 @@
 		every time.Duration
 		do    func(c at)
 		want  [2]end
-		kept  time.Duration // of the first task, or of the gang
+		kept  time.Duration // kept progress of the first task, or of the gang
 	}{
 		{"time enough", model.Array, 10 * sec, func(c at) { stop(c, 0, 4); pass(c, 3900*time.Millisecond) }, [2]end{{saving, "", false}, {running, "", false}}, 0},
 		{"and over", model.Array, 10 * sec, func(c at) { stop(c, 0, 4); pass(c, 4100*time.Millisecond) }, [2]end{stored, {running, "", false}}, 15 * sec},
@@ -87,7 +87,7 @@
 		w.jobs[j.id] = j
 		x := at{w: w}
 		pass(x, sec)
-		for _, n := range w.nodes { // they would return machines that they did not rent
+		for _, n := range w.nodes { // running controllers would return machines that they did not launch
 			n.crash(time.Hour)
 		}
 		for i := range 2 {
@@ -116,8 +116,8 @@
 	}
 }
 
-// What was drawn before schedules had priorities and saves stays as it was; those on top of it
-// break no rule, and tasks of cancelled jobs save in them.
+// Preempting only adds to the schedules of OverlappingFaults and does not change what they draw. The schedules break
+// no rule, and in them tasks of cancelled jobs save.
 func TestPreempting(t *testing.T) {
 	saves, caught := 0, 0
 	for seed := 1; seed <= 240; seed++ {
@@ -136,9 +136,8 @@
 	}
 }
 
-// saved is a schedule in which three jobs save for longer than cancel_s when they are
-// cancelled: an array and a gang that gave way to others in their zones, and an array whose zone an
-// operator drained.
+// saved returns a schedule in which three jobs need longer than cancel_s to save and are cancelled meanwhile: an array
+// and a gang that were preempted by jobs in their zones, and an array whose zone an operator drained.
 func saved(d int, seed uint64, cancels [3]time.Duration, faults []Fault) Plan {
 	x := deployments[d]
 	p := Plan{Seed: seed, Machines: 1, Report: x.report, Lease: x.lease, Cancel: x.cancel, Faults: faults,
@@ -153,19 +152,19 @@
 	return p
 }
 
-// Tasks that save when their job is cancelled are gone within cancel_s, as those that run are,
-// whatever goes wrong then: the second stop belongs to the job's state, not to a message.
+// Tasks that are saving when their job is cancelled are gone within cancel_s, like running tasks, whatever faults
+// follow. The second stop is derived from the job's state, so that it does not depend on a single message.
 func TestSaving(t *testing.T) {
 	const (
 		saves     = 6 // tasks of the three jobs
 		seeds     = 4
-		mostPlays = 4 // of which one must show what it is for
+		mostPlays = 4 // runs, one of which must have tasks that save when they are cancelled
 	)
 	f, held := wrong, wrongHeld
 	for _, c := range []struct {
 		name   string
-		within time.Duration // the tasks that saved are gone within; 0: what the budget allows
-		least  time.Duration // and in some schedule not sooner: else the fault missed them
+		within time.Duration // limit until the saving tasks are gone; 0: what the budget allows
+		least  time.Duration // in some schedule it takes at least this long; otherwise the fault missed the tasks
 		faults []Fault
 	}{
 		{"nothing else", 2 * sec, 0, nil},
@@ -192,8 +191,8 @@
 		for d, x := range deployments {
 			for seed := range uint64(seeds) {
 				group.Go(func() {
-					// Whose user is told only after its tasks were stopped was not caught: such a play
-					// shows nothing, and another takes its place.
+					// If the cancellation is confirmed only after the tasks were stopped, no task was caught
+					// saving. Such a run shows nothing and is replaced by another one.
 					var out Outcome
 					for range mostPlays {
 						out = Run(saved(d, seed+1, [3]time.Duration{40 * sec, 40500 * time.Millisecond, 41 * sec}, c.faults), nil, 0)
@@ -228,7 +227,7 @@
 	}
 }
 
-// A job of higher priority and one within its team's guarantee don't stop each other in turn for ever.
+// A job of higher priority and a job within its team's guarantee do not preempt each other forever.
 func TestGuaranteeAgainstPriority(t *testing.T) {
 	out := Run(Plan{Seed: 1, Machines: 1, Lease: 10 * sec, Cancel: 24 * sec, Guarantee: true, Jobs: []Submission{
 		{At: 2 * sec, Shape: model.Array, Tasks: 2, Zone: "a", Takes: 40 * sec, Priority: model.High, Every: 10 * sec, Cost: 25 * sec},
@@ -238,8 +237,8 @@
 	}
 }
 
-// Room that is made by a guarantee is kept from whom it was taken, whatever their priority, until what
-// was stopped has saved: a gang that waits for it begins after one save of each task.
+// Capacity that is freed for a guarantee is reserved until the stopped tasks have saved. The preempted job cannot take
+// it back meanwhile, whatever its priority: a gang that waits for it starts after one save of each task.
 func TestGuaranteedRoomIsKept(t *testing.T) {
 	for seed := range uint64(8) {
 		out := Run(Plan{Seed: seed + 1, Machines: 1, Lease: 10 * sec, Cancel: 24 * sec, Guarantee: true, Jobs: []Submission{
--- a/internal/simtest/claims_test.go
+++ b/internal/simtest/claims_test.go
@@ -9,8 +9,8 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// A leader that ends at any step between a gang's claim and the last of its orders leaves no half
-// of a gang: the next one goes on with the same attempt, and no piece gives up waiting.
+// A leader that crashes at any step between a gang's claim and the last of its start commands leaves no partial gang.
+// The next leader continues with the same attempt, and no task gives up waiting for the others.
 func TestNoHalfGang(t *testing.T) {
 	plan := func(at time.Duration, back bool, cut int) Plan {
 		kind := "crash"
@@ -18,11 +18,11 @@
 			kind = "crash back"
 		}
 		faults := []Fault{{Kind: kind, At: at, For: 2 * time.Second, A: 7}}
-		if cut > 0 { // an owner's orders are held up, so that a part of the gang is ordered
+		if cut > 0 { // an owner's start commands are held up, so that only a part of the gang is started
 			faults = append(faults, Fault{Kind: "cut node from nodes", At: max(0, at-60*time.Millisecond), For: 700 * time.Millisecond, A: cut, Hold: true})
 		}
 		return Plan{Seed: 77, Machines: 1, Lease: 10 * time.Second, Cancel: 24 * time.Second,
-			// A machine a zone, each half taken: the gang's pieces go to three owners.
+			// There is one machine per zone, each half full, so the gang's tasks go to three owners.
 			Jobs: []Submission{{At: 2 * time.Second, Shape: model.Array, Tasks: 1, Zone: "a", Takes: 40 * time.Second},
 				{At: 2 * time.Second, Shape: model.Array, Tasks: 1, Zone: "b", Takes: 40 * time.Second},
 				{At: 2 * time.Second, Shape: model.Array, Tasks: 1, Zone: "c", Takes: 40 * time.Second},
@@ -60,7 +60,7 @@
 	}
 }
 
-// when is the moment of the first line of a story that contains a text.
+// when returns the time of the first line of a story that contains a text.
 func when(t *testing.T, story, text string) time.Duration {
 	for _, line := range strings.Split(story, "\n") {
 		var s float64
--- a/internal/simtest/explore_test.go
+++ b/internal/simtest/explore_test.go
@@ -10,9 +10,9 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// refused is the known hole, as the explorer found and shrank it: connections between
-// controllers are refused, one leads after the other, and the first has missed the
-// second's time. With leases counted from a desk's own last answer a task starts twice.
+// refused is a schedule that the explorer found and shrank: connections between controllers are refused, one
+// controller leads after the other, and the first one missed the term of the second. If leases were counted from a
+// controller's own last answer, a task would start twice.
 var refused = Plan{Seed: 4, Machines: 1, Lease: 10 * time.Second, Cancel: 24 * time.Second,
 	Jobs: []Submission{
 		{At: 100 * time.Millisecond, Shape: model.Array, Tasks: 3, Spot: true, Takes: 17400 * time.Millisecond},
@@ -24,9 +24,9 @@
 		{Kind: "cut node", At: 6100 * time.Millisecond, For: time.Second, Hold: true},
 		{Kind: "cut node from store", At: 10600 * time.Millisecond, For: 4900 * time.Millisecond, A: 1}}}
 
-// blind is a leader that nothing reaches for twenty seconds, while its own messages keep
-// its key alive: a look at the key comes through again before the jobs do. Without a
-// bound on its view of the jobs it started tasks of one that had long been cancelled.
+// blind is a schedule with a leader that receives nothing for twenty seconds, while its own messages keep its leader
+// key alive. Afterwards it reads the key again before it reads the jobs. Without a bound on the age of its view of the
+// jobs, it started tasks of a job that had been cancelled long before.
 var blind = Plan{Seed: 0x7af7143d, Machines: 3, Lease: 6 * time.Second, Cancel: 20 * time.Second,
 	Jobs: []Submission{{At: 400 * time.Millisecond, Shape: model.Service, Tasks: 2, Zone: "b", Spot: true, Takes: 3800 * time.Millisecond,
 		Cancel: 8100 * time.Millisecond}},
@@ -40,27 +40,26 @@
 		{Kind: "cut node from store", At: 28800 * time.Millisecond, For: 1100 * time.Millisecond, B: 7, Hold: true},
 		{Kind: "cut into node", At: 28900 * time.Millisecond, For: 11300 * time.Millisecond, A: 5, Hold: true}}}
 
-// found are seeds that broke a rule once: ghosts that made a zone look dark, a drain that
-// was answered after another operator had ended it, and a start that an unanswered call
-// brought back into a new session, a drain that was answered while an earlier leader might
-// still act. Then a report of a worker's earlier life that counted as the newest, a machine that
-// heard nothing and had its kind go from owner to owner, one that was never returned, a call that
-// a worker's new life had carried out.
+// found are seeds that once broke a rule. The causes were: machines that no longer existed made a zone look
+// unreachable; a drain was answered after another operator had ended it; an unanswered call brought a start back into
+// a new session; a drain was answered while an earlier leader might still act; a heartbeat from before a worker's
+// restart counted as the newest; a machine that received nothing made its pool move from owner to owner; a machine was
+// never returned; a restarted worker had carried out a call meant for its earlier process.
 var found = []int{31030852, 50063006, 60055782, 70071424, 200001641, 210000006, 210000040, 210009384}
 
-// foundMet are seeds that did so with troubles that meet: use that was counted of a machine whose
-// worker had begun anew while the state service was out, of a gang that a later leader had ordered;
-// a drain that an older list of drains took out of force; five records of machines at once where the
-// state service took four.
+// foundMet are seeds that once broke a rule with overlapping faults. The causes were: usage was counted for a machine
+// whose worker had restarted during an outage of the state service, for a gang that a later leader had started; an
+// older list of drains cancelled a drain; five machine records were written at once where the state service accepted
+// four.
 var foundMet = []int{800035852, 900080711, 1000139823, 1100001427}
 
-// foundPreempting are seeds that did so with priorities and saves: room that a guarantee had made and
-// priority took back, before what was stopped had saved; room that two jobs kept from each other; a
-// task that a leader kept alive whose cancellation it knew; free room that two jobs kept from each other
+// foundPreempting are seeds that once broke a rule with priorities and checkpoints. The causes were: capacity freed
+// for a guarantee was taken back by priority before the stopped tasks had saved; two jobs kept capacity from each
+// other; a leader kept a task alive although it knew of its cancellation; two jobs kept free capacity from each other
 // while a task saved.
 var foundPreempting = []int{1800003201, 2200008432, 2300004744, 7100019330, 7200007027}
 
-// The same schedule leads to the same events.
+// Two runs of the same schedule have the same events.
 func TestRepeats(t *testing.T) {
 	for seed := 1; seed <= 20; seed++ {
 		p := Plans.Example(seed)
@@ -70,7 +69,7 @@
 	}
 }
 
-// Schedules that broke a rule once, as the explorer found and shrank them.
+// Schedules that once broke a rule, as the explorer found and shrank them, break none.
 func TestShrunk(t *testing.T) {
 	if out := Run(refused, nil, 0); out.Broken != "" || out.Starts < 5 {
 		t.Errorf("controllers that cannot talk: %+v", out)
@@ -80,8 +79,7 @@
 	}
 }
 
-// Seeds that once broke a rule, and a few thousand others, break none. The explorer's
-// command plays as many as one likes.
+// Seeds that once broke a rule, and a few thousand others, break none. The explorer's command can run any number.
 func TestSchedules(t *testing.T) {
 	for _, seed := range found {
 		if out := Run(Plans.Example(seed), nil, 0); out.Broken != "" {
@@ -208,7 +206,7 @@
 	}
 }
 
-// A story tells faults, what users are told and what machines do, in that order.
+// A story contains the faults, what users are told and what machines do, in that order.
 func TestStory(t *testing.T) {
 	var story strings.Builder
 	Run(refused, &story, 8)
@@ -219,7 +217,7 @@
 	}
 }
 
-// answerOf is an answer as a controller gives it.
+// answerOf returns an answer in the form in which a controller sends it.
 func answerOf(status int, stage model.Stage) httpwire.Answer {
 	return httpwire.Answer{Status: status, Body: []byte(`{"stage":"` + string(stage) + `"}`)}
 }
--- a/internal/simtest/guards_test.go
+++ b/internal/simtest/guards_test.go
@@ -14,10 +14,10 @@
 	"github.com/marlwood/marlwood/internal/workers"
 )
 
-// came counts what a script brought about, by name.
+// came counts the events that a script caused, by name.
 type came map[string]int
 
-// whenever looks every ten milliseconds, and does something at the first look that shows it.
+// whenever checks a condition every ten milliseconds, and calls do once when it first holds.
 func (w *cluster) whenever(shows func() bool, do func()) {
 	w.sim.After(10*time.Millisecond, func() {
 		if shows() {
@@ -28,7 +28,7 @@
 	})
 }
 
-// cutOff loses all packets between a place and others until the time given.
+// cutOff drops all packets between an endpoint and the matching others until the given time.
 func (w *cluster) cutOff(x *place, with func(*place) bool, until time.Duration) *cut {
 	c := &cut{until: until, blocks: func(from, to *place) bool { return from == x && with(to) || to == x && with(from) }}
 	w.net.cut(c)
@@ -37,7 +37,7 @@
 
 func anywhere(*place) bool { return true }
 
-// on is where a task of the i-th job is; nil: it is on no machine.
+// on returns the machine of a task of the i-th job, or nil if the task is on no machine.
 func (w *cluster) on(i, task int) *worker {
 	if i >= len(w.all) {
 		return nil
@@ -45,7 +45,7 @@
 	return w.all[i].on[task]
 }
 
-// here counts the tasks that are on a machine.
+// here returns the number of tasks that are on a machine.
 func (m *worker) here() (n int) {
 	for _, t := range m.tasks {
 		if t.on {
@@ -55,41 +55,41 @@
 	return n
 }
 
-// everywhere has every controller get a report that was held; its answers reach nobody.
+// everywhere delivers a heartbeat to every controller and drops the answers.
 func (w *cluster) everywhere(r *model.Heartbeat) {
 	for _, n := range w.nodes {
 		n.process.Enter(func() { n.node.HandleHeartbeat(n.Now(), r, func(workers.HeartbeatResult) {}) })
 	}
 }
 
-// bereave ends the leader and, for less than a lease, cuts a machine off that has tasks: a next
-// leader that has no record of it places them anew. There is room for that.
+// bereave crashes the leader and cuts off a machine with tasks for less than a lease. A next leader that has no record
+// of the machine would start its tasks again. The number of machines is raised so that there is capacity for that.
 func (w *cluster) bereave(x *worker) {
 	w.plan.Machines += 2
 	w.controller(len(w.nodes)).crash(time.Second)
 	w.cutOff(x.place, anywhere, w.sim.Now()+w.plan.Lease-3*sec)
 }
 
-// names tells whether a transaction writes a record that names a machine.
+// names reports whether a transaction writes a record that contains a machine.
 func names(t store.Txn, x *worker) bool {
 	return slices.ContainsFunc(t.Writes, func(c store.Write) bool {
 		return c.Set == machinerecords.SingleRecordPrefix+x.name || strings.HasPrefix(c.Set, machinerecords.GroupRecordPrefix) && strings.Contains(string(c.Value), `"`+x.name+`"`)
 	})
 }
 
-// ofHosts tells whether a transaction changes records of machines.
+// ofHosts reports whether a transaction changes machine records.
 func ofHosts(t store.Txn) bool {
 	return slices.ContainsFunc(t.Writes, func(c store.Write) bool {
 		return strings.HasPrefix(c.Set+c.Delete, machinerecords.SingleRecordPrefix) || strings.HasPrefix(c.Set+c.Delete, machinerecords.GroupRecordPrefix)
 	})
 }
 
-// starts tells whether a direct call starts a task.
+// starts reports whether a direct call starts a task.
 func starts(o model.DirectCommands, task string) bool {
 	return slices.ContainsFunc(o.Commands, func(c model.Command) bool { return c.Op == "start" && c.Task == task })
 }
 
-// takes is 1 if a machine would carry out now what a direct call brings.
+// takes returns 1 if a machine would now carry out the commands of a direct call, otherwise 0.
 func (m *worker) takes(o model.DirectCommands) int {
 	if m.session == o.Session && m.token == o.Token {
 		return 1
@@ -97,24 +97,24 @@
 	return 0
 }
 
-// more has a user submit another job now.
+// more makes a user submit another job now.
 func (w *cluster) more(s Submission) {
 	w.plan.Jobs = append(w.plan.Jobs, s)
 	w.submit(len(w.plan.Jobs)-1, s)
 }
 
-// array is a job of one zone.
+// array returns an array job that is restricted to one zone.
 func array(at time.Duration, tasks int, zone string, takes time.Duration) Submission {
 	return Submission{At: at, Shape: model.Array, Tasks: tasks, Zone: zone, Takes: takes}
 }
 
-// Guards that neither drawn schedules nor other rows showed to be needed: each row is the schedule
-// that needs one. Without it a rule breaks.
+// Each row is a schedule in which a rule breaks without a certain guard in the code. Neither drawn schedules nor the
+// rows of other tests showed that these guards are needed.
 func TestGuards(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		lease time.Duration // 0: both deployments'
-		want  []string      // what must have come about in each play
+		lease time.Duration // 0: the leases of both deployments
+		want  []string      // events that must have occurred in each run
 		plan  func(p *Plan, met came)
 	}{
 		{"a late report of a worker's earlier life, which had the higher session", 0, []string{"back with tasks", "delivered"}, func(p *Plan, met came) {
@@ -129,7 +129,7 @@
 					}
 					away := w.cutOff(x.place, anywhere, time.Hour)
 					w.whenever(func() bool { return x.session == 2 }, func() {
-						r := x.message() // on its way when the worker ends
+						r := x.message() // in flight when the worker ends
 						x.back(100 * time.Millisecond)
 						away.until = w.sim.Now()
 						w.whenever(func() bool { return x.life == 1 && x.here() > 0 }, func() {
@@ -221,7 +221,7 @@
 					w.sim.After(700*time.Millisecond, func() { owner.crash(100 * time.Millisecond) })
 					w.sim.After(1100*time.Millisecond, func() {
 						if w.on(1, 0) != nil {
-							met["stop"]++ // an order to the owner that is back
+							met["stop"]++ // a command to the owner that has returned
 						}
 						w.users.Spawn(func() { w.callOff(w.all[1], false) })
 					})
@@ -299,7 +299,7 @@
 				}
 				late = func() { c.late(t) }
 				if met["held"]++; met["held"] == 1 {
-					away.until = w.sim.Now() // it is back meanwhile
+					away.until = w.sim.Now() // the machine is reachable again meanwhile
 					w.whenever(func() bool { return x.here() > 0 }, func() {
 						met["late"]++
 						late()
@@ -325,7 +325,7 @@
 				w := c.n.cluster
 				switch {
 				case !ofHosts(t) || met["late"] > 0:
-				case x == nil: // as soon as it is current
+				case x == nil: // the first write of a machine's record is held
 					for _, m := range w.cloud.machines {
 						if names(t, m) {
 							x, since = m, w.sim.Now()
@@ -335,12 +335,12 @@
 					return held
 				case names(t, x) && w.sim.Now() < since+w.plan.Lease+4*sec:
 					return held
-				case names(t, x): // it has expired
+				case names(t, x): // the machine's lease has expired
 					met["written"]++
-				case met["written"] > 0: // its removal
+				case met["written"] > 0: // the removal of the record
 					late = func() { c.late(t) }
 					if met["held"]++; met["held"] == 1 {
-						x.mute = 0 // it is back meanwhile
+						x.mute = 0 // the machine sends heartbeats again meanwhile
 						w.whenever(func() bool { return x.here() > 0 }, func() {
 							met["late"]++
 							late()
@@ -406,7 +406,7 @@
 					w.more(array(0, 2, x.pool.Zone, 100*sec))
 				})
 				w.sim.At(25*sec, func() {
-					w.plan.Machines = 0 // no more are rented
+					w.plan.Machines = 0 // no more machines are launched
 					y.end("stopped")
 				})
 				w.sim.At(34500*time.Millisecond, func() { w.cutOff(x.place, anywhere, w.sim.Now()+w.plan.Lease-5*sec) })
--- a/internal/simtest/idle_capacity_test.go
+++ b/internal/simtest/idle_capacity_test.go
@@ -7,9 +7,9 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// A task that waits for 90 s beside room for it breaks idle_room; one that lacks something does not.
-// Three machines stand in zones a, a and b, the last one a spot machine; jobs are of two tasks of
-// half a machine.
+// A task that waits for 90 s while there is free capacity for it breaks idle_room; a task that cannot run yet does not.
+// There are three machines in zones a, a and b, the last one a spot machine. Each job has two tasks that need half a
+// machine each.
 func TestIdleRoom(t *testing.T) {
 	type at struct {
 		w *cluster
@@ -24,7 +24,7 @@
 	other := func(_ at, team string) *job {
 		return &job{id: "other", accepted: true, spec: &model.Job{ID: "other", Team: team, Shape: model.Array, Tasks: 9, Size: model.Size{CPUs: 2}}, finished: make([]bool, 9)}
 	}
-	fill := func(c at, tasks ...int) { // with tasks of a job that is not looked at
+	fill := func(c at, tasks ...int) { // places tasks of a job that is not checked
 		j, k := other(c, "free"), 0
 		for m, n := range tasks {
 			for range n {
@@ -38,7 +38,7 @@
 	for _, c := range []struct {
 		name, rule string
 		do         func(c at)
-		then       func(c at, now time.Duration) // at each look; nil: nothing
+		then       func(c at, now time.Duration) // called before each check; nil: nothing
 	}{
 		{"all waits beside empty machines", breaks, func(at) {}, nil},
 		{"one of two is on a machine", breaks, func(c at) { put(c, 0, c.j, 0) }, nil},
@@ -105,7 +105,7 @@
 	}
 }
 
-// A schedule is played for long enough that idle_room can break, however short its jobs are.
+// A schedule runs long enough for idle_room to break, however short its jobs are.
 func TestLasts(t *testing.T) {
 	for seed := 1; seed <= 200; seed++ {
 		if p := OverlappingFaults.Example(seed); p.lasts() < p.calmFrom()+idleFor+20*sec || p.lasts() < p.bound() {
@@ -114,8 +114,9 @@
 	}
 }
 
-// Among whole controllers the rule breaks for a task that may run in any zone, by what is true, and
-// of which they were told that it may run only where nothing is free; not for one that it is true of.
+// The idle_room rule also works with running controllers. A task was submitted with a restriction to zone a, where
+// nothing is free. The rule breaks if the task may in truth run in any zone, as zone b has free capacity, and holds if
+// the restriction is true.
 func TestIdleRoomIsSeen(t *testing.T) {
 	for _, c := range []struct{ truth, want string }{{"a", ""}, {"", "idle_room"}} {
 		p := Plan{Seed: 3, Machines: 1, Lease: 10 * sec, Cancel: 24 * sec}
--- a/internal/simtest/overlapping_faults_test.go
+++ b/internal/simtest/overlapping_faults_test.go
@@ -11,19 +11,19 @@
 
 const sec = time.Second
 
-// wrong is a fault at a moment and for a time in seconds, of a controller or a machine.
+// wrong returns a fault of a controller or a machine; start and duration are in seconds.
 func wrong(kind string, at, length float64, a int) Fault {
 	return Fault{Kind: kind, At: time.Duration(at * float64(sec)), For: time.Duration(length * float64(sec)), A: a}
 }
 
-// wrongHeld is one that holds packets, or has machines hang.
+// wrongHeld returns such a fault that delays packets instead of dropping them, or makes machines hang.
 func wrongHeld(kind string, at, length float64, a int) Fault {
 	f := wrong(kind, at, length, a)
 	f.Hold = true
 	return f
 }
 
-// deployments are the protocol's times at both deployments.
+// deployments are the durations of the protocol in both deployments.
 var deployments = []struct {
 	name                  string
 	report, lease, cancel time.Duration
@@ -32,9 +32,9 @@
 	{"donorline", 4 * sec, 26 * sec, 46 * sec},
 }
 
-// long is a schedule of jobs of every shape that run through all of it, each of which is cancelled
-// at the moment given, through a controller that the state service does not refuse; of a job that
-// ends task by task, one after the other; and of one that comes late, after what goes wrong began.
+// long returns a schedule with jobs of every shape that would run for its whole length. Each is cancelled at the given
+// time through a controller that the state service does not refuse. Another job ends task by task, and one is
+// submitted late, after the faults began.
 func long(d int, seed uint64, late time.Duration, cancels [4]time.Duration, faults ...Fault) Plan {
 	x := deployments[d]
 	p := Plan{Seed: seed, Machines: 2, Report: x.report, Lease: x.lease, Cancel: x.cancel, Faults: faults}
@@ -46,13 +46,13 @@
 	return p
 }
 
-// margin is what of cancel_s the budget leaves for drift and slow timers (docs/safety.md), less what
-// clocks drift apart here: tasks that stay longer were kept by what the budget doesn't know of.
+// margin is the part of cancel_s that the budget leaves for drift and slow timers (docs/safety.md), less the drift of
+// the simulated clocks. A task that stays longer was delayed by something that the budget does not include.
 const margin = 1900 * time.Millisecond
 
-// each plays a schedule for both deployments and some seeds, and tells the worst of them: how long
-// tasks of a cancelled job stayed, and how long after the last trouble anything began. least is how
-// many cancellations must have been told in each.
+// each runs a schedule for both deployments and some seeds and returns the worst values: how long tasks of a cancelled
+// job stayed, and how long after the last fault a task first began. least is the number of cancellations that must
+// have been confirmed in each run.
 func each(t *testing.T, name string, seeds uint64, least int, plan func(d int, seed uint64) Plan, look ...func(where string, out Outcome)) (gone, again time.Duration) {
 	var group sync.WaitGroup
 	var lock sync.Mutex
@@ -84,9 +84,9 @@
 	return gone, again
 }
 
-// The gap: the state service refuses the leader alone, another controller confirms cancellations,
-// then it is out for all; workers report to the old leader throughout. The tasks are gone within
-// cancel_s all the same, whatever the times are, and the cluster serves again after it.
+// The state service first refuses only the leader, so that another controller confirms cancellations, and then fails
+// for all controllers. Workers send heartbeats to the old leader throughout. The tasks must still be gone within
+// cancel_s, whatever the durations are, and the cluster must serve again afterwards.
 func TestGap(t *testing.T) {
 	const at = 40 * sec
 	worst, slowest := time.Duration(0), time.Duration(0)
@@ -106,7 +106,7 @@
 		}
 	}
 	t.Logf("gone after at most %v, again after at most %v", worst, slowest)
-	if worst < 35*sec { // else no task was kept by the leader that was refused, and nothing is shown
+	if worst < 35*sec { // otherwise the refused leader kept no task, and the test shows nothing
 		t.Errorf("gone after %v already: nobody kept a cancelled job's tasks", worst)
 	}
 	if slowest > 40*sec {
@@ -114,7 +114,7 @@
 	}
 }
 
-// Each meeting that users have named, brought about: see docs/meetings.md.
+// Each combination of faults that users have named is scripted here, see docs/meetings.md.
 func TestMeetings(t *testing.T) {
 	near := [4]time.Duration{40 * sec, 42 * sec, 45 * sec, 52 * sec}
 	f, held := wrong, wrongHeld
--- a/internal/simtest/rare_faults_test.go
+++ b/internal/simtest/rare_faults_test.go
@@ -9,19 +9,19 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// The meetings of the users' second page, brought about: see docs/meetings.md. Each row names what
-// must have come about in each play; where it hangs on luck, over its seeds.
+// The combinations of faults of the users' second page are scripted here, see docs/meetings.md. Each row lists the
+// events that must have occurred in each run, or, where they depend on chance, in at least one of its seeds.
 func TestFurtherMeetings(t *testing.T) {
 	f, held := wrong, wrongHeld
 	near := [4]time.Duration{40 * sec, 42 * sec, 45 * sec, 52 * sec}
 	type row struct {
 		name   string
 		faults []Fault
-		with   func(p *Plan) // what else is asked of the schedule
-		met    []Met         // in each play
-		some   []Met         // in one of its plays at least
+		with   func(p *Plan) // further changes to the schedule
+		met    []Met         // must occur in each run
+		some   []Met         // must occur in at least one of its runs
 	}
-	// short is thirty short jobs, one a second from the moment given.
+	// short adds thirty short jobs, one per second from the given time on.
 	short := func(from time.Duration) func(p *Plan) {
 		return func(p *Plan) {
 			p.Machines = 3
@@ -31,7 +31,7 @@
 			}
 		}
 	}
-	// limited has every team at its limit: what runs for long fills them, and two jobs of each wait.
+	// limited brings every team to its limit: long jobs use it up, and two jobs of each team wait.
 	limited := func(p *Plan) {
 		p.Limits = true
 		p.Jobs = []Submission{
@@ -43,14 +43,14 @@
 		p.Jobs = append(p.Jobs, Submission{At: 7 * sec, Shape: model.Array, Tasks: 2, Takes: 400 * sec, Cancel: 90 * sec, Beside: true},
 			Submission{At: 7 * sec, Shape: model.Service, Tasks: 1, Team: 1, Takes: 400 * sec, Cancel: 91 * sec, Beside: true})
 	}
-	// later has jobs that begin on machines which have reported without them.
+	// later adds jobs that start on machines whose earlier heartbeats did not contain them.
 	later := func(p *Plan) {
 		p.Jobs = []Submission{
 			{At: 2 * sec, Shape: model.Array, Tasks: 3, Takes: 300 * sec, Cancel: 110 * sec}, {At: 2 * sec, Shape: model.Array, Tasks: 3, Spot: true, Takes: 300 * sec, Cancel: 111 * sec},
 			{At: 28 * sec, Shape: model.Array, Tasks: 3, Takes: 50 * sec}, {At: 28500 * time.Millisecond, Shape: model.Array, Tasks: 3, Spot: true, Takes: 50 * sec},
 			{At: 29 * sec, Shape: model.Gang, Tasks: 2, Takes: 40 * sec}}
 	}
-	// bound has jobs that may be in one zone only.
+	// bound adds jobs that are restricted to one zone.
 	bound := func(p *Plan) {
 		for i, shape := range []model.Shape{model.Array, model.Gang, model.Array, model.Service} {
 			p.Jobs = append(p.Jobs, Submission{At: 3 * sec, Shape: shape, Tasks: 2, Zone: zones[i%2], OneZone: shape == model.Gang, Takes: 50 * sec, Cancel: []time.Duration{0, 0, 60 * sec, 80 * sec}[i]})
--- a/internal/simtest/regions_test.go
+++ b/internal/simtest/regions_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Drawn schedules of three regions break no rule: among them that more than a team's limit is
-// allocated, on its way or used in all regions together.
+// Drawn schedules of three regions break no rule. One rule is that all regions together neither allocate, have in
+// transfer, nor use more than a team's limit.
 func TestRegions(t *testing.T) {
 	var group sync.WaitGroup
 	var lock sync.Mutex
@@ -28,7 +28,7 @@
 	}
 }
 
-// A gang of seven tasks gathers machines that come one after the other. Guard: the first ones were returned as
+// A gang of seven tasks needs machines that come up one after the other. Guard: the first machines were returned as
 // idle before the last one was up, over and over.
 func TestGangGathersMachines(t *testing.T) {
 	for _, seed := range []uint64{1806, 2242} {
--- a/internal/simtest/seeds_test.go
+++ b/internal/simtest/seeds_test.go
@@ -7,8 +7,8 @@
 // TestSeed21147004189 plays the schedule that the simulation found in the draw `further`: the job req-2 never ends
 // although all faults are over after 60 s.
 //
-// The pool of its machine goes to and fro between two owners ("owner hears nothing from box in a: n0", "owner back:
-// n0", every 3 to 4 s until the end), and the machine's lease ends about every 25 s with the job's task
+// The pool of its machine moves back and forth between two owners ("owner hears nothing from box in a: n0", "owner
+// back: n0", every 3 to 4 s until the end). The machine's lease expires about every 25 s, which kills the job's task
 // ("vm-003 kills its tasks", eleven times).
 func TestSeed21147004189(t *testing.T) {
 	out := Run(RareFaults.Example(21147004189), nil, 0)
@@ -18,11 +18,11 @@
 }
 
 // TestSeed20647024243 plays the schedule that the simulation found in the draw `preempting`: the job req-4 waits
-// for ever although no fault is left and the cloud has machines.
+// forever although no fault is left and the cloud has machines.
 //
-// An operator's drain of its zone is stored in an outage of the state service and its answer is lost. The operator
-// ends it, and is told "zone/c is not drained" (NotFound, at 33.267 s). At 35.3 s the drain is in force, for good:
-// "explain" answers DRAINED.
+// An operator's drain of its zone is stored during an outage of the state service and its answer is lost. The operator
+// ends the drain and gets the answer "zone/c is not drained" (NotFound, at 33.267 s). From 35.3 s on the drain is in
+// force permanently: "explain" answers DRAINED.
 func TestSeed20647024243(t *testing.T) {
 	out := Run(Preempting.Example(20647024243), nil, 0)
 	if out.Broken != "" {
@@ -33,9 +33,9 @@
 // TestSeed51507100300 plays a schedule that the simulation found in the draw `preempting`: the job req-7 waits for
 // ever although no fault is left and the cloud has machines; the sources of 4f88aef break it too.
 //
-// An operator asks for a drain of its zone at 6.5 s and gives up; the request is held by a cut until 34 s. The operator
-// ends the drain meanwhile, and is told that there is none. The held request arrives just after that and is executed:
-// the drain's record has since 34.038 s, and "explain" answers DRAINED at 200 s.
+// An operator requests a drain of its zone at 6.5 s and gives up; a cut holds the request until 34 s. Meanwhile the
+// operator ends the drain and gets the answer that there is none. The held request arrives just after that and is
+// executed: the drain is recorded with the start time 34.038 s, and "explain" answers DRAINED at 200 s.
 func TestSeed51507100300(t *testing.T) {
 	out := Run(Preempting.Example(51507100300), nil, 0)
 	if out.Broken != "" {
--- a/internal/simtest/silent_pool_test.go
+++ b/internal/simtest/silent_pool_test.go
@@ -8,13 +8,14 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// A machine whose owner is in good health keeps its tasks when it cannot reach that owner for a few seconds, also
-// while half of the machines of its pool have ended.
+// A machine whose owner is healthy keeps its tasks when it cannot reach that owner for a few seconds, even if half of
+// the machines of its pool have ended.
 //
 // Three of six machines end, so most of the pool counts as silent, and controllers that do not own the pool redirect
-// its machines to each other. A machine that missed one answer never came back to its owner, which heard it well: it
-// went to and fro until its lease was over. The story showed the cut from 61 s to 69 s, the silence of the ended ones
-// from 69 s on, and "vm-004 kills its tasks: its lease is over" at 82.9 s, with no fault in between.
+// its machines to each other. A machine that missed one answer never returned to its owner, although the owner could
+// receive its heartbeats: it was redirected back and forth until its lease expired. The story showed the cut from 61 s
+// to 69 s, the silence of the ended machines from 69 s on, and "vm-004 kills its tasks: its lease is over" at 82.9 s,
+// with no fault in between.
 func TestSurvivorOfHalfAPool(t *testing.T) {
 	for d, x := range deployments {
 		for seed := range uint64(10) {
@@ -33,8 +34,8 @@
 	}
 }
 
-// endHalfAndCutOne ends three machines of zone a at a moment, for which the cloud has no others in the next minute,
-// and cuts one of the rest off from the controller of its zone for a time.
+// endHalfAndCutOne ends three machines of zone a at the given time; the cloud does not replace them within the next
+// minute. It also cuts one of the others off from the controller of its zone for a time.
 func (w *cluster) endHalfAndCutOne(endAt, cutFrom, cutUntil time.Duration) {
 	w.sim.At(endAt, func() {
 		for _, m := range w.cloud.machines[:3] {
--- a/internal/simtest/small_test.go
+++ b/internal/simtest/small_test.go
@@ -14,12 +14,12 @@
 	"github.com/marlwood/marlwood/internal/store"
 )
 
-// putsLeast is the smallest budget of puts and deletes a second that a deployment's state service
-// has come down to (donorline's, after its limits fell).
+// putsLeast is the smallest budget of puts and deletes per second of any deployment's state service (donorline's,
+// after its limits were lowered).
 const putsLeast = 18
 
-// small is a schedule of one-task jobs, four a second for a time, every fourth of which is
-// cancelled: in turn before a controller has placed it, and while it runs.
+// small returns a schedule of one-task jobs, four per second for the given time. Every fourth job is cancelled,
+// alternately before a controller has placed it and while it runs.
 func small(seed uint64, d int, length time.Duration) Plan {
 	x := deployments[d]
 	p := Plan{Seed: seed, Machines: 6, Report: x.report, Lease: x.lease, Cancel: x.cancel}
@@ -33,18 +33,18 @@
 	return p
 }
 
-// cost is what transactions take of the state service.
+// cost counts transactions and their writes at the state service.
 type cost struct{ txns, writes int }
 
 func (c cost) plus(t store.Txn) cost { return cost{c.txns + 1, c.writes + len(t.Writes)} }
 
-// What one job of one task costs, from its submission until it is over: what follows from it
-// bounds how many such jobs a second a deployment takes (docs/scale.md).
+// The number of writes of a one-task job from its submission to its end is fixed. It bounds how many such jobs per
+// second a deployment can accept (docs/scale.md).
 func TestWritesOfASmallJob(t *testing.T) {
 	for _, c := range []struct {
 		name          string
 		job           Submission
-		users, leader cost // through whichever controller users ask; by the leader
+		users, leader cost // writes through the controllers that users send requests to; writes by the leader
 	}{
 		{"done", Submission{Takes: 10 * sec}, cost{1, 1}, cost{2, 3}},
 		{"done within a second", Submission{Takes: 400 * time.Millisecond}, cost{1, 1}, cost{2, 3}},
@@ -53,7 +53,7 @@
 		{"cancelled while it runs", Submission{Takes: 60 * sec, Cancel: 20 * sec}, cost{2, 3}, cost{1, 1}},
 	} {
 		c.job.At, c.job.Shape, c.job.Tasks = 15*sec, model.Array, 1
-		// A service uses its team's limit up and keeps machines in use.
+		// A service uses up its team's limit and keeps machines in use.
 		p := Plan{Seed: 2, Machines: 2, Lease: 26 * sec, Cancel: 46 * sec, Jobs: []Submission{
 			{At: 2 * sec, Shape: model.Service, Tasks: 2, Team: 1, Cancel: 80 * sec}, c.job}}
 		var users, leader cost
@@ -75,8 +75,8 @@
 	}
 }
 
-// played plays a schedule until every job is over and a time longer, and returns the rule that was
-// broken. each, if there is one, is told of every second.
+// played runs a schedule until every job is over plus the time longer, and returns the rule that was broken, or "".
+// change is called before the start, and the functions in each are called once per second.
 func played(t testing.TB, p Plan, longer time.Duration, tap func() scheduler.Recorder, change func(w *cluster), each ...func(w *cluster)) string {
 	w, err := newCluster(p, nil, 0, tap)
 	if err != nil {
@@ -110,7 +110,7 @@
 	return w.sim.broken
 }
 
-// sizes takes the size of the leader's whole state whenever it is asked for.
+// sizes is a recorder that measures the size of the leader's whole state when ask is set.
 type sizes struct {
 	ask   bool
 	bytes int
@@ -124,11 +124,11 @@
 	}
 }
 
-// Small jobs come fast, for ten minutes, at a state service that takes no more than the smallest
-// budget: no rule is broken, submissions and cancellations are answered in time, and every job is
-// over at the end and stays so at every controller.
+// Small jobs arrive in quick succession for ten minutes while the state service accepts no more than the smallest
+// budget. No rule may be broken, submissions and cancellations must be answered in time, and every job must be over at
+// the end and stay so at every controller.
 func TestSmallJobsFast(t *testing.T) {
-	const length, answered = 10 * time.Minute, 6 * sec // a user waits 5 s, and asks again a second later
+	const length, answered = 10 * time.Minute, 6 * sec // a user waits 5 s and retries one second later
 	p := small(1, 1, length)
 	wants := map[string]time.Duration{}
 	writes, slowest := 0, time.Duration(0)
@@ -153,7 +153,7 @@
 				late = w.sim.Now() - wants[j.id]
 			}
 			if slowest = max(slowest, late); late > answered {
-				w.sim.breaks("late_answer", "%s", j.id) // more of it shows nothing new
+				w.sim.breaks("late_answer", "%s", j.id) // one late answer is enough
 			}
 		}
 	})
@@ -171,7 +171,7 @@
 	}
 }
 
-// BenchmarkSmallJobs is a minute of small jobs at three controllers.
+// BenchmarkSmallJobs measures one minute of small jobs with three controllers.
 func BenchmarkSmallJobs(b *testing.B) {
 	b.ReportAllocs()
 	for b.Loop() {
@@ -181,15 +181,15 @@
 	}
 }
 
-// After so many small jobs the leader holds no more than after a few, a quiet minute of all
-// three controllers allocates no more, and owners have been told to forget every job's size.
+// After many small jobs the leader's state is no larger than after a few, the three controllers allocate no more in a
+// quiet minute, and the leader has told the owners to forget the size of every job.
 func TestSmallJobsLeaveNothing(t *testing.T) {
 	left := func(length time.Duration) (jobs, bytes int, allocated float64, known int) {
 		tap := &sizes{}
 		var from, to runtime.MemStats
 		quiet := 0
 		p := small(1, 1, length)
-		knows, told := map[int]map[string]bool{}, 0 // sizes by owner
+		knows, told := map[int]map[string]bool{}, 0 // jobs whose sizes each owner knows; number of sizes sent
 		out := played(t, p, 80*sec, func() scheduler.Recorder { return tap }, func(w *cluster) {
 			w.rounds = func(to int, r *peerspb.RoundRequest) {
 				for _, s := range r.Sizes {
@@ -208,7 +208,7 @@
 				return
 			}
 			switch quiet++; quiet {
-			case 15: // by then idle machines were returned
+			case 15: // idle machines have been returned by then
 				runtime.ReadMemStats(&from)
 			case 75:
 				runtime.ReadMemStats(&to)
--- a/internal/simtest/unanswered_drain_test.go
+++ b/internal/simtest/unanswered_drain_test.go
@@ -14,20 +14,20 @@
 	"github.com/marlwood/marlwood/internal/store"
 )
 
-// What an operator is told is not drained is not drained, and nothing drains it later.
+// A zone that an operator is told is not drained is not drained, and nothing drains it later.
 //
-// The answer to a drain's write was lost, and the state service could not be asked what had become of it. The operator
-// ended the drain, and was told at once "zone/c is not drained; marlwood drains lists what is", for the leader looked
-// into what it had read last. The list of drains was empty too. Some seconds later the leader read the records again
-// and had the zone drained, for ever: nobody knew of that drain any more (simtest, seed 20647024243: NotFound at
-// 33.267 s, "explain" says DRAINED from 35.3 s on, and the job req-4 waits for good).
+// The answer to a drain's write was lost, and the outcome could not be read from the state service. The operator ended
+// the drain and was told at once "zone/c is not drained; marlwood drains lists what is", because the leader only
+// consulted what it had read last. The list of drains was empty too. Some seconds later the leader read the records
+// again and drained the zone forever, while nobody knew of that drain any more (simtest, seed 20647024243: NotFound at
+// 33.267 s, "explain" says DRAINED from 35.3 s on, and the job req-4 waits forever).
 func TestUndrainAfterALostAnswer(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		fate    fate
-		late    time.Duration // after the drain: when a held write is carried out
-		outage  time.Duration // of the state service, from just after the drain's write on
-		undrain time.Duration // after the drain: from when on the operator ends it
+		late    time.Duration // time after the drain at which a held write is applied
+		outage  time.Duration // outage of the state service, starting just after the drain's write
+		undrain time.Duration // time after the drain from which on the operator tries to end it
 	}{
 		{"stored, and the state service is out", unanswered, 0, 5 * sec, 3 * sec},
 		{"stored, and the state service was out", unanswered, 0, 4 * sec, 4200 * time.Millisecond},
@@ -42,8 +42,8 @@
 	}
 }
 
-// playUnansweredDrain drains zone c with a write whose answer is lost, ends the drain until that is answered for
-// certain, and looks at the drains after each list of them and in the end.
+// playUnansweredDrain drains zone c with a write whose answer is lost, and repeats the request to end the drain until
+// it gets a definite answer. It checks the drains after that answer and at the end of the schedule.
 func playUnansweredDrain(t *testing.T, name string, p Plan, f fate, late, outage, undrain time.Duration) {
 	const drainedAt = 10 * sec
 	lost := false
@@ -67,7 +67,7 @@
 		drained := func() bool { _, err := w.store.Get(record); return err == nil }
 		w.sim.At(drainedAt, func() {
 			w.users.Spawn(func() {
-				for !lost { // until it reaches the leader
+				for !lost { // until the request reaches the leader
 					_ = w.operate(&operatorspb.Request{What: &operatorspb.Request_Drain{Drain: &operatorspb.DrainRequest{Zone: "c", Force: true}}})
 				}
 			})
--- a/internal/simtest/usage_answers_test.go
+++ b/internal/simtest/usage_answers_test.go
@@ -10,12 +10,13 @@
 	"github.com/marlwood/marlwood/internal/operators/operatorspb"
 )
 
-// What operators are told of a team's usage never goes back, whichever controller they ask and whatever fails between.
+// The usage of a team that operators are shown never decreases, whichever controller they ask and whatever fails in
+// between.
 //
-// A new leader answered with the sums of its own term before it had read those of the terms before: "5.996 CPU seconds
-// after 15.372" (TestAccounts, beside load, at the takeover), for the sums were told from memory while the stored ones
-// were Loading. Besides, a leader told what it had not stored yet, which its end took back; and one that was cut off from
-// the state service told its old sums beside the next leader's for as long as its lease lasted.
+// A new leader answered with the sums of its own term before it had read those of earlier terms: "5.996 CPU seconds
+// after 15.372" (TestAccounts, under load, at the takeover), because it answered from memory while the stored sums were
+// Loading. Also, a leader reported sums that it had not stored yet and that were lost when it crashed, and a leader
+// that was cut off from the state service reported its old sums besides the next leader's until its lease expired.
 func TestUsageNeverGoesBack(t *testing.T) {
 	leader := len(zones) // see controller
 	for _, c := range []struct {
@@ -47,7 +48,8 @@
 	}
 }
 
-// watchUsage asks one controller after the other what the team "free" has used, and counts the answers. 0 is no answer.
+// watchUsage asks one controller after the other for the usage of the team "free" and returns the number of answers. A
+// usage of 0 counts as no answer.
 func (w *cluster) watchUsage(t *testing.T, name string) (told int) {
 	most := 0.0
 	for w.sim.Now() < 65*sec {
@@ -67,17 +69,18 @@
 	return told
 }
 
-// askUsage asks a controller for the CPU seconds that the team "free" has used; 0: there is no answer.
+// askUsage asks a controller for the CPU seconds that the team "free" has used; 0 means no answer.
 func (w *cluster) askUsage(n *node) float64 {
 	const perHour = 3600
 	return w.askTeam(n).GetRunCpuH() * perHour
 }
 
-// A leader that is cut off from the state service and the other controllers, and does not know that it has been deposed, does not tell less than
-// the next one has told.
+// A leader that is cut off from the state service and the other controllers, and does not know that it has been
+// deposed, does not report less usage than the next leader has reported.
 //
-// The leader lease outlasts the leader key: for some seconds two controllers act as leaders. Asked by turns, the next one
-// told what had been stored meanwhile, and then the deposed one what it had stored itself.
+// The leader lease outlasts the leader key, so for some seconds two controllers act as leaders. When an operator asked
+// them in turn, the next leader reported what had been stored meanwhile, and then the deposed one reported only what it
+// had stored itself.
 func TestDeposedLeaderTellsNoUsage(t *testing.T) {
 	leader := len(zones) // see controller
 	for d, x := range deployments {
@@ -97,7 +100,8 @@
 	}
 }
 
-// A row without usage says whether that is not known or none: once some was told, it is never told as none.
+// A row without usage states whether the usage is unknown or zero. Once a usage has been reported, it is never reported
+// as zero.
 func TestUnknownUsageIsSaidToBe(t *testing.T) {
 	leader := len(zones) // see controller
 	for seed := range uint64(10) {
@@ -128,7 +132,7 @@
 	}
 }
 
-// askTeam asks a controller for the team "free"; nil: there is no answer.
+// askTeam asks a controller for the row of the team "free"; nil means no answer.
 func (w *cluster) askTeam(n *node) *operatorspb.Team {
 	if n.process.Dead() {
 		return nil
--- a/internal/simtest/writes_test.go
+++ b/internal/simtest/writes_test.go
@@ -16,12 +16,12 @@
 	"github.com/marlwood/marlwood/internal/store"
 )
 
-// writeKind is a row of the table in docs/meetings.md: which transactions it is about.
+// writeKind is a row of the table in docs/meetings.md and selects the transactions that the row is about.
 type writeKind struct {
 	name   string
 	is     func(c storeClient, t store.Txn) bool
-	alone  bool // none of its kind need come after it
-	tokens bool // it needs workers that begin anew
+	alone  bool // whether there may be no later transaction of its kind
+	tokens bool // whether it needs workers that restart
 }
 
 func sets(t store.Txn, prefix string) *store.Write {
@@ -42,14 +42,14 @@
 	return false
 }
 
-// ours tells whether the leader key is the sender's.
+// ours reports whether the sender holds the leader key.
 func ours(c storeClient) bool {
 	it, err := c.n.cluster.store.Get(leadership.Key)
 	return err == nil && strings.Contains(string(it.Value), c.n.place.name)
 }
 
-// Kinds of writes. Submissions and cancellations have tests of their own, and settings, which are not
-// written in the explorer's world.
+// writeKinds are the kinds of writes under test. Submissions and cancellations have tests of their own. Settings are
+// not written in the simulation.
 var writeKinds = []writeKind{
 	{"claim of the leader key", func(c storeClient, t store.Txn) bool { return sets(t, leadership.Key) != nil && !ours(c) }, false, false},
 	{"fresh token", func(c storeClient, t store.Txn) bool { return sets(t, leadership.Key) != nil && ours(c) }, false, true},
@@ -84,8 +84,8 @@
 	{"lines of accounts", func(_ storeClient, t store.Txn) bool { return sets(t, accounting.KeyPrefix) != nil }, false, false},
 }
 
-// writesPlan has every kind of write: jobs of all shapes, some that wait, some cancelled; drains;
-// accounts; leaders that end.
+// writesPlan returns a schedule that has every kind of write: jobs of all shapes, some of which wait or are cancelled,
+// drains, accounts, and leaders that crash.
 func writesPlan(d int, seed uint64) Plan {
 	x := deployments[d]
 	return Plan{Seed: seed, Machines: 2, Report: x.report, Lease: x.lease, Cancel: x.cancel, Accounts: true,
@@ -106,23 +106,23 @@
 	}
 }
 
-// anew are workers that begin anew: the leader takes fresh tokens.
+// anew are restarts of workers, after which the leader takes new fencing tokens.
 var anew = []Fault{{Kind: "machine back", At: 17 * sec, For: 300 * time.Millisecond, A: 1}, {Kind: "machine back", At: 24 * sec, For: 300 * time.Millisecond, A: 2}}
 
-// met counts what transactions of a kind met.
+// met counts what happened to the transactions of a kind.
 type met struct {
-	lost    int      // carried out at once or never, without an answer
-	after   int      // of those that were answered after these, carried out
-	late    int      // carried out late
-	newer   int      // of these, in the same leadership after a newer one that was carried out
+	lost    int      // without an answer, and applied at once or never
+	after   int      // answered after such a loss, and applied
+	late    int      // applied late
+	newer   int      // of these, applied in the same leadership after a newer one had been applied
 	twice   []string // jobs that had more than one record after that
-	unnamed []string // machines that had a task and no record when some transaction came
+	unnamed []string // machines that had a task and no record when a transaction arrived
 }
 
-// deliver carries a transaction out late.
+// deliver applies a transaction late.
 func (m *met) deliver(c storeClient, t store.Txn, newer bool) {
 	m.late++
-	for _, g := range t.Preconditions { // else its fencing token alone makes it void
+	for _, g := range t.Preconditions { // in a later leadership its fencing token alone would make it fail
 		if g.Key == leadership.Key && t.LeaderBudget {
 			it, err := c.n.cluster.store.Get(g.Key)
 			newer = newer && err == nil && it.Revision == g.Revision
@@ -135,10 +135,10 @@
 	m.twice = append(m.twice, c.n.cluster.twice()...)
 }
 
-// lose has the answers of a kind's transactions lost: of the first three and of each third one then.
+// lose drops the answers of the first three transactions of a kind and of every third one after that.
 func (m *met) lose(k writeKind) func(c storeClient, t store.Txn) fate { return m.some(k, unanswered) }
 
-// drop has the same transactions never carried out, which their sender cannot tell from that.
+// drop never applies the same transactions. The sender cannot distinguish this from a lost answer.
 func (m *met) drop(k writeKind) func(c storeClient, t store.Txn) fate { return m.some(k, held) }
 
 func (m *met) some(k writeKind, f fate) func(c storeClient, t store.Txn) fate {
@@ -158,11 +158,11 @@
 	}
 }
 
-// latest is how long a transaction is held at most, if no newer one comes.
+// latest is the longest time that a transaction is held if no newer one arrives.
 const latest = 12 * sec
 
-// hold has a kind's transactions held, one of a controller at a time, until a newer one of the same
-// controller has been carried out.
+// hold delays transactions of a kind, one per controller at a time, until a newer one of the same controller has been
+// applied.
 func (m *met) hold(k writeKind) func(c storeClient, t store.Txn) fate {
 	waiting := map[string]func(newer bool){} // by controller
 	return func(c storeClient, t store.Txn) fate {
@@ -200,7 +200,7 @@
 	}
 }
 
-// twice are the jobs that have more than one record: those that wait, the open and the final ones.
+// twice returns the jobs that have more than one record among the waiting, open and final records.
 func (w *cluster) twice() (out []string) {
 	for _, j := range w.all {
 		n := 0
@@ -216,8 +216,8 @@
 	return out
 }
 
-// end has the first transaction of a kind held, its sender end after it has given up waiting, and the
-// transaction carried out late.
+// end holds the first transaction of a kind, crashes its sender after it has given up waiting, and then applies the
+// transaction late.
 func (m *met) end(k writeKind) func(c storeClient, t store.Txn) fate {
 	seen := false
 	return func(c storeClient, t store.Txn) fate {
@@ -232,7 +232,7 @@
 	}
 }
 
-// unnamed are the machines that have a task and no record.
+// unnamed returns the machines that have a task and no record.
 func (w *cluster) unnamed() (out []string) {
 	ledger := machinerecords.New(machinerecords.Options{MaxOps: 16, MaxValueBytes: 4096, MaxTxnBytes: 48 << 10}, 1)
 	for _, prefix := range []string{machinerecords.SingleRecordPrefix, machinerecords.GroupRecordPrefix} {
@@ -256,7 +256,7 @@
 	return out
 }
 
-// passes tells whether a transaction would be carried out now.
+// passes reports whether the preconditions of a transaction hold now.
 func (w *cluster) passes(t store.Txn) bool {
 	for _, g := range t.Preconditions {
 		it, err := w.store.Get(g.Key)
@@ -270,9 +270,9 @@
 	return true
 }
 
-// Each kind of write without an answer: carried out at once, never, late after newer ones of the same
-// controller, or late after its sender ended:
-// no rule breaks, all is served, no job has two records and no machine with a task none.
+// Each kind of write gets no answer and is applied at once, never, late after newer ones of the same controller, or
+// late after its sender crashed. In each case no rule breaks, every job is served, no job has two records, and no
+// machine with a task is without a record.
 func TestWrites(t *testing.T) {
 	for _, k := range writeKinds {
 		for _, way := range []struct {
@@ -318,7 +318,7 @@
 				}
 				group.Wait()
 				t.Logf("%+v", all)
-				if all.lost > 16 && all.after == 0 { // of a kind that comes often
+				if all.lost > 16 && all.after == 0 { // the kind is frequent
 					t.Errorf("%+v: none is carried out any more", all)
 				}
 				if way.name == "late" && all.newer == 0 && !k.alone {
