--- a/internal/simtest/accounts.go
+++ b/internal/simtest/accounts.go
@@ -22,9 +22,9 @@
 	return run, nil
 }
 
-// countAgain checks that no usage was counted twice. The recorded CPU time of a team must not exceed what its tasks
-// used plus, for each task, the delay with which a leader may learn of its end (a lease and a heartbeat).
-func (w *cluster) countAgain() {
+// checkUsageCounted checks that no usage was counted twice. The recorded CPU time of a team must not exceed what its
+// tasks used plus, for each task, the delay with which a leader may learn of its end (a lease and a heartbeat).
+func (w *cluster) checkUsageCounted() {
 	for _, m := range w.cloud.machines {
 		for _, t := range m.tasks {
 			m.off(t)
--- a/internal/simtest/checkpoints.go
+++ b/internal/simtest/checkpoints.go
@@ -88,7 +88,7 @@
 
 // stop carries out a stop command. While the task saves, a stop without grace time ends the save, and any other stop
 // is a repetition and is ignored.
-func (m *worker) stop(t *copyOf, windDown time.Duration) {
+func (m *worker) stop(t *taskAttempt, windDown time.Duration) {
 	spec := t.job.spec
 	switch {
 	case t.state == model.TaskSaving && windDown > 0:
@@ -100,11 +100,11 @@
 }
 
 // startCheckpoint begins to save a running task's progress.
-func (m *worker) startCheckpoint(t *copyOf) {
+func (m *worker) startCheckpoint(t *taskAttempt) {
 	w := m.cluster
 	t.state, t.reached = model.TaskSaving, t.progress(w.sim.Now())
 	w.checkpoints++
-	w.sim.tell("%s saves on %s for %v", model.TaskName(t.job.id, t.index), m.name, t.job.spec.SaveTime)
+	w.sim.logf("%s saves on %s for %v", model.TaskName(t.job.id, t.index), m.name, t.job.spec.SaveTime)
 	if t.job.spec.Shape == model.Gang {
 		w.halt(t)
 	}
@@ -113,7 +113,7 @@
 }
 
 // write ends a save when its time is over. While the machine hangs, the save makes no progress.
-func (m *worker) write(t *copyOf, stood, left time.Duration) {
+func (m *worker) write(t *taskAttempt, stood, left time.Duration) {
 	m.cluster.sim.After(left, func() {
 		m.enter(func() {
 			switch more := m.stood - stood; {
@@ -133,7 +133,7 @@
 }
 
 // halt begins the coordinated stop of a task's gang, if it has not begun.
-func (w *cluster) halt(t *copyOf) {
+func (w *cluster) halt(t *taskAttempt) {
 	j := t.job
 	if j.halts[t.attempt] != nil {
 		return
@@ -163,7 +163,7 @@
 }
 
 // gather ends the tasks of a gang that have saved, once all have saved or the time to wait for the others is over.
-func (w *cluster) gather(t *copyOf) {
+func (w *cluster) gather(t *taskAttempt) {
 	h, g := t.job.halts[t.attempt], w.gang(t)
 	if h == nil {
 		return
@@ -190,7 +190,7 @@
 }
 
 // progress returns how much of its job's duration a task has completed.
-func (t *copyOf) progress(now time.Duration) time.Duration {
+func (t *taskAttempt) progress(now time.Duration) time.Duration {
 	switch {
 	case t.reached > 0:
 		return t.reached
@@ -200,8 +200,8 @@
 	return 0
 }
 
-// part returns the index under which progress is kept: that of the task, or 0 for a gang as a whole.
-func (t *copyOf) part() int {
+// progressKey returns the index under which progress is kept: that of the task, or 0 for a gang as a whole.
+func (t *taskAttempt) progressKey() int {
 	if t.job.spec.Shape == model.Gang {
 		return 0
 	}
@@ -216,11 +216,11 @@
 	j.kept[part] = max(j.kept[part], progress)
 }
 
-// lose handles a task that leaves its machine: its periodic checkpoints are kept, and a gang that was saving loses
-// later progress unless that is already safe.
-func (w *cluster) lose(t *copyOf) {
+// recordTaskLoss handles a task that leaves its machine: its periodic checkpoints are kept, and a gang that was saving
+// loses later progress unless that is already safe.
+func (w *cluster) recordTaskLoss(t *taskAttempt) {
 	if every := t.job.spec.CheckpointEvery; every > 0 {
-		t.job.keep(t.part(), t.progress(w.sim.Now())/every*every)
+		t.job.keep(t.progressKey(), t.progress(w.sim.Now())/every*every)
 	}
 	if h := t.job.halts[t.attempt]; h != nil {
 		h.failed = h.failed || !t.saved && !h.safe
@@ -235,14 +235,15 @@
 	}
 }
 
-// catch marks the tasks that are saving at the moment when their job's cancellation is confirmed to the user.
-func (w *cluster) catch(j *job) {
+// markCaughtSaving marks the tasks that are saving at the moment when their job's cancellation is confirmed to the
+// user.
+func (w *cluster) markCaughtSaving(j *job) {
 	for _, m := range w.cloud.machines {
 		for _, t := range m.tasks {
 			if t.job == j && t.on && t.state == model.TaskSaving {
 				t.caught = true
 				w.caught++
-				w.sim.tell("%s was saving on %s when it was cancelled", model.TaskName(j.id, t.index), m.name)
+				w.sim.logf("%s was saving on %s when it was cancelled", model.TaskName(j.id, t.index), m.name)
 			}
 		}
 	}
--- a/internal/simtest/checkpoints_test.go
+++ b/internal/simtest/checkpoints_test.go
@@ -9,11 +9,11 @@
 )
 
 // Stop commands follow the protocol for tasks with checkpoints. Each task needs four seconds to save.
-func TestStops(t *testing.T) {
+func TestStopOfCheckpointedTasks(t *testing.T) {
 	type at struct {
 		w *cluster
 		m []*worker
-		t []*copyOf
+		t []*taskAttempt
 	}
 	pass := func(c at, d time.Duration) {
 		done := false
@@ -25,12 +25,12 @@
 	stop := func(c at, i int, windDown float64) {
 		x := c.t[i]
 		c.m[i].enter(func() {
-			c.m[i].obey([]model.Command{{Op: "stop", Task: model.TaskName(x.job.id, x.index), Attempt: x.attempt, GraceS: &windDown}})
+			c.m[i].execute([]model.Command{{Op: "stop", Task: model.TaskName(x.job.id, x.index), Attempt: x.attempt, GraceS: &windDown}})
 		})
 	}
 	again := func(c at, i int) { // starts the task again under the same attempt
-		c.t[i] = &copyOf{job: c.t[i].job, index: i, attempt: 1, state: model.TaskWaitingForGang, on: true}
-		c.m[i].tasks = []*copyOf{c.t[i]}
+		c.t[i] = &taskAttempt{job: c.t[i].job, index: i, attempt: 1, state: model.TaskWaitingForGang, on: true}
+		c.m[i].tasks = []*taskAttempt{c.t[i]}
 		c.w.began(c.m[i], c.t[i])
 		c.m[i].run(c.t[i])
 	}
@@ -93,8 +93,8 @@
 		for i := range 2 {
 			m := newWorker(w, string(rune('1'+i)), model.Pool{Type: wireType.Name, Zone: "a"}, false)
 			m.newSession()
-			task := &copyOf{job: j, index: i, attempt: 1, state: model.TaskWaitingForGang, on: true}
-			m.tasks = []*copyOf{task}
+			task := &taskAttempt{job: j, index: i, attempt: 1, state: model.TaskWaitingForGang, on: true}
+			m.tasks = []*taskAttempt{task}
 			w.cloud.machines = append(w.cloud.machines, m)
 			w.began(m, task)
 			x.m, x.t = append(x.m, m), append(x.t, task)
@@ -136,9 +136,9 @@
 	}
 }
 
-// saved returns a schedule in which three jobs need longer than cancel_s to save and are cancelled meanwhile: an array
-// and a gang that were preempted by jobs in their zones, and an array whose zone an operator drained.
-func saved(d int, seed uint64, cancels [3]time.Duration, faults []Fault) Plan {
+// savingPlan returns a schedule in which three jobs need longer than cancel_s to save and are cancelled meanwhile: an
+// array and a gang that were preempted by jobs in their zones, and an array whose zone an operator drained.
+func savingPlan(d int, seed uint64, cancels [3]time.Duration, faults []Fault) Plan {
 	x := deployments[d]
 	p := Plan{Seed: seed, Machines: 1, Report: x.report, Lease: x.lease, Cancel: x.cancel, Faults: faults,
 		Drains: []Draining{{At: 30 * sec, For: 90 * sec, Zone: "c", Force: true}}}
@@ -160,7 +160,7 @@
 		seeds     = 4
 		mostPlays = 4 // runs, one of which must have tasks that save when they are cancelled
 	)
-	f, held := wrong, wrongHeld
+	f, held := newFault, newHeldFault
 	for _, c := range []struct {
 		name   string
 		within time.Duration // limit until the saving tasks are gone; 0: what the budget allows
@@ -195,7 +195,7 @@
 					// saving. Such a run shows nothing and is replaced by another one.
 					var out Outcome
 					for range mostPlays {
-						out = Run(saved(d, seed+1, [3]time.Duration{40 * sec, 40500 * time.Millisecond, 41 * sec}, c.faults), nil, 0)
+						out = Run(savingPlan(d, seed+1, [3]time.Duration{40 * sec, 40500 * time.Millisecond, 41 * sec}, c.faults), nil, 0)
 						if out.Broken != "" || out.Checkpoints >= saves && out.Caught >= saves-2 {
 							break
 						}
@@ -239,7 +239,7 @@
 
 // Capacity that is freed for a guarantee is reserved until the stopped tasks have saved. The preempted job cannot take
 // it back meanwhile, whatever its priority: a gang that waits for it starts after one save of each task.
-func TestGuaranteedRoomIsKept(t *testing.T) {
+func TestGuaranteedCapacityIsReserved(t *testing.T) {
 	for seed := range uint64(8) {
 		out := Run(Plan{Seed: seed + 1, Machines: 1, Lease: 10 * sec, Cancel: 24 * sec, Guarantee: true, Jobs: []Submission{
 			{At: 2 * sec, Shape: model.Array, Tasks: 2, Zone: "a", Takes: 36 * sec, Priority: model.Normal, Every: 2600 * time.Millisecond, Cost: 18 * sec},
--- a/internal/simtest/claims_test.go
+++ b/internal/simtest/claims_test.go
@@ -11,7 +11,7 @@
 
 // A leader that crashes at any step between a gang's claim and the last of its start commands leaves no partial gang.
 // The next leader continues with the same attempt, and no task gives up waiting for the others.
-func TestNoHalfGang(t *testing.T) {
+func TestLeaderCrashLeavesNoPartialGang(t *testing.T) {
 	plan := func(at time.Duration, back bool, cut int) Plan {
 		kind := "crash"
 		if back {
--- a/internal/simtest/cluster.go
+++ b/internal/simtest/cluster.go
@@ -29,36 +29,36 @@
 
 // cluster is a simulated deployment: three controllers, the services, the machines and the users.
 type cluster struct {
-	sim            *sim
-	plan           Plan
-	net            *network
-	store          *simulation.Store
-	storeAt        *place
-	cloud          *cloud
-	nodes          []*node
-	users          *simulation.Process
-	place          *place // network endpoint of the users
-	jobs           map[string]*job
-	all            []*job // in order of submission
-	op             *settings.Operator
-	starts         int
-	level          slog.Level
-	tap            func() scheduler.Recorder // nil: decisions are not recorded
-	drained        map[string]bool           // drains confirmed to an operator: machine names, and zones with the prefix "zone "
-	operated       map[string]bool           // names for which an operator has requested a drain
-	used           map[string]time.Duration  // by team: CPU time consumed by its tasks
-	attempts       map[string]int            // by team: number of task runs
-	stopTime       time.Duration             // see Outcome
-	again          time.Duration             // see Outcome
-	told           int                       // cancellations confirmed to users
-	checkpoints    int                       // tasks that began to save a checkpoint
-	caught         int                       // see Outcome
-	caughtStopTime time.Duration             // see Outcome
+	sim                    *sim
+	plan                   Plan
+	net                    *network
+	store                  *simulation.Store
+	storePlace             *place
+	cloud                  *cloud
+	nodes                  []*node
+	users                  *simulation.Process
+	place                  *place // network endpoint of the users
+	jobs                   map[string]*job
+	all                    []*job // in order of submission
+	op                     *settings.Operator
+	starts                 int
+	level                  slog.Level
+	tap                    func() scheduler.Recorder // nil: decisions are not recorded
+	drained                map[string]bool           // drains confirmed to an operator: machine names, and zones with the prefix "zone "
+	operated               map[string]bool           // names for which an operator has requested a drain
+	used                   map[string]time.Duration  // by team: CPU time consumed by its tasks
+	attempts               map[string]int            // by team: number of task runs
+	stopTime               time.Duration             // see Outcome
+	firstStartAfterFaults  time.Duration             // see Outcome
+	confirmedCancellations int                       // cancellations confirmed to users
+	checkpoints            int                       // tasks that began to save a checkpoint
+	caught                 int                       // see Outcome
+	caughtStopTime         time.Duration             // see Outcome
 	// Until lateWrites, half of the transactions get no answer and are applied 2 to 12 s later.
 	// Until slowStore, the state service answers up to 3 s late.
 	lateWrites, slowStore time.Duration
-	writeRPS, spare       float64       // puts and deletes per second that the state service accepts (0: unlimited); the remaining budget
-	spareAt               time.Duration // when spare was last updated
+	writeRPS, writeBudget float64       // puts and deletes per second that the state service accepts (0: unlimited); the remaining budget
+	writeBudgetAt         time.Duration // when spare was last updated
 	refused               int           // transactions rejected because of that limit
 	copies                time.Duration // until then some reports are also delivered a second time, later
 	rare                  rareFaults
@@ -103,7 +103,7 @@
 	if err != nil {
 		return nil, err
 	}
-	w := &cluster{regions: regions, region: index, sim: s, plan: p, net: &network{sim: s}, store: simulation.NewStore(s.Sim, 16), storeAt: &place{name: "store", role: storeRole}, jobs: map[string]*job{}, drained: map[string]bool{}, operated: map[string]bool{}, op: op, level: level, tap: tap,
+	w := &cluster{regions: regions, region: index, sim: s, plan: p, net: &network{sim: s}, store: simulation.NewStore(s.Sim, 16), storePlace: &place{name: "store", role: storeRole}, jobs: map[string]*job{}, drained: map[string]bool{}, operated: map[string]bool{}, op: op, level: level, tap: tap,
 		place: &place{name: "users", role: userRole}}
 	w.used, w.attempts = map[string]time.Duration{}, map[string]int{}
 	if p.Accounts {
@@ -121,7 +121,7 @@
 		kept.Regions.Name, kept.Regions.Others = regionNames[index], regions.others(index)
 		w.op = &kept
 	}
-	w.store.OnKeyExpired = func(key string) { s.tell("the key %s goes with its hold", key) }
+	w.store.OnKeyExpired = func(key string) { s.logf("the key %s goes with its hold", key) }
 	w.cloud = &cloud{cluster: w, place: &place{name: "cloud", role: cloudRole}, launchRequests: map[string][]string{}}
 	w.users = s.NewProcess("users")
 	for i, z := range zones {
@@ -187,7 +187,7 @@
 
 // Write writes a log line to the story.
 func (l lines) Write(b []byte) (int, error) {
-	l.n.cluster.sim.tell("    %s: %s", l.n.place.name, strings.TrimSpace(string(b)))
+	l.n.cluster.sim.logf("    %s: %s", l.n.place.name, strings.TrimSpace(string(b)))
 	return len(b), nil
 }
 
@@ -281,8 +281,8 @@
 // Close does nothing: the simulated connection holds no resources.
 func (l link) Close() error { return nil }
 
-// held runs do, which delivers a direct call to the machine, after the delay that the schedule sets for it.
-func (m *worker) held(o model.DirectCommands, do func()) {
+// delayDirectCall runs do, which delivers a direct call to the machine, after the delay that the schedule sets for it.
+func (m *worker) delayDirectCall(o model.DirectCommands, do func()) {
 	if m.cluster.plan.calls != nil {
 		if d := m.cluster.plan.calls(m, o); d > 0 {
 			m.cluster.sim.After(d, do)
@@ -311,12 +311,12 @@
 			r      *model.Heartbeat
 		}
 		a, ok := ask(n.process, w.net, n.place, m.place, directCall, func(reply func(answer)) {
-			m.held(o, func() {
+			m.delayDirectCall(o, func() {
 				m.enter(func() {
 					if m.life != life {
 						return
 					}
-					status, r := m.orders(o)
+					status, r := m.handleDirectCall(o)
 					reply(answer{status, r})
 				})
 			})
--- a/internal/simtest/cmd/main.go
+++ b/internal/simtest/cmd/main.go
@@ -54,7 +54,7 @@
 // Run explores.
 func (c *runCmd) Run() error {
 	if c.Repeat {
-		return c.tell(c.plans(c.Seed).Example(int(c.Seed)), c.Seed)
+		return c.printStory(c.plans(c.Seed).Example(int(c.Seed)), c.Seed)
 	}
 	debug.SetGCPercent(800) // a finished schedule leaves almost nothing alive
 	workers := c.Workers
@@ -103,7 +103,7 @@
 		return nil
 	}
 	fmt.Printf("seed %d breaks %s; making it smaller\n", seed, simtest.Run(c.plans(seed).Example(int(seed)), nil, 0).Broken)
-	return c.tell(shrink(c.plans(seed), seed, c.Shrink), seed)
+	return c.printStory(shrink(c.plans(seed), seed, c.Shrink), seed)
 }
 
 // drawn returns the name of the generator that draws the schedule of a seed.
@@ -123,8 +123,8 @@
 		"preempting": simtest.Preempting}[c.drawn(seed)]
 }
 
-// tell prints a schedule's story.
-func (c *runCmd) tell(p simtest.Plan, seed uint64) error {
+// printStory prints a schedule's story.
+func (c *runCmd) printStory(p simtest.Plan, seed uint64) error {
 	var story strings.Builder
 	out := simtest.Run(p, &story, c.Log)
 	fmt.Printf("%d jobs, %d faults, at most %d machines:\n%s", len(p.Jobs), len(p.Faults), p.Machines, story.String())
--- a/internal/simtest/cmd/regions.go
+++ b/internal/simtest/cmd/regions.go
@@ -22,7 +22,7 @@
 // Run explores schedules of three regions.
 func (c *regionsCmd) Run() error {
 	if c.Repeat {
-		return c.tell(c.Seed)
+		return c.printStory(c.Seed)
 	}
 	debug.SetGCPercent(800) // a finished schedule leaves almost nothing alive
 	if c.Workers == 0 {
@@ -49,14 +49,14 @@
 	fmt.Printf("%d schedules of three regions in %v on %d workers, %d starts of tasks\n", played.Load(),
 		time.Since(began).Round(time.Millisecond), c.Workers, starts.Load())
 	if seed := found.Load(); seed != 0 {
-		return c.tell(seed)
+		return c.printStory(seed)
 	}
 	fmt.Println("no rule was broken")
 	return nil
 }
 
-// tell prints a schedule's story.
-func (c *regionsCmd) tell(seed uint64) error {
+// printStory prints a schedule's story.
+func (c *regionsCmd) printStory(seed uint64) error {
 	var story strings.Builder
 	broken, _ := simtest.RunRegions(simtest.DrawRegions(seed), &story)
 	fmt.Print(story.String())
--- a/internal/simtest/explore_test.go
+++ b/internal/simtest/explore_test.go
@@ -60,7 +60,7 @@
 var foundPreempting = []int{1800003201, 2200008432, 2300004744, 7100019330, 7200007027}
 
 // Two runs of the same schedule have the same events.
-func TestRepeats(t *testing.T) {
+func TestRunIsDeterministic(t *testing.T) {
 	for seed := 1; seed <= 20; seed++ {
 		p := Plans.Example(seed)
 		if x, y := Run(p, nil, 0), Run(p, nil, 0); x != y || x.Events < 1000 {
@@ -129,14 +129,14 @@
 }
 
 // The rules are checked against what is on the machines and what users were told.
-func TestRules(t *testing.T) {
+func TestRuleChecks(t *testing.T) {
 	type at struct {
 		w    *cluster
 		x, y *job // y needs x
 		m    []*worker
 	}
-	on := func(c at, m int, j *job, index int) *copyOf {
-		task := &copyOf{job: j, index: index, attempt: 1, on: true}
+	on := func(c at, m int, j *job, index int) *taskAttempt {
+		task := &taskAttempt{job: j, index: index, attempt: 1, on: true}
 		c.m[m].tasks = append(c.m[m].tasks, task)
 		c.w.began(c.m[m], task)
 		return task
@@ -147,7 +147,7 @@
 		}
 	}
 	tell := func(c at, j *job, status int, stage model.Stage) {
-		c.w.hear(j, "question", answerOf(status, stage))
+		c.w.handleAnswer(j, "question", answerOf(status, stage))
 	}
 	for _, c := range []struct {
 		name, rule string
--- a/internal/simtest/idle_capacity.go
+++ b/internal/simtest/idle_capacity.go
@@ -14,24 +14,24 @@
 	lookEvery = time.Second
 )
 
-// lasts returns the time until which a schedule is played. By then all jobs must be over, and the rule idle_room has
-// had time to break for tasks that begin to wait up to 30 s after the last fault. Services, which need not end, are
+// playedUntil returns the time until which a schedule is played. By then all jobs must be over, and the rule idle_room
+// has had time to break for tasks that begin to wait up to 30 s after the last fault. Services, which need not end, are
 // checked until then.
-func (p Plan) lasts() time.Duration { return max(p.bound(), p.calmFrom()+idleFor+30*time.Second) }
+func (p Plan) playedUntil() time.Duration { return max(p.bound(), p.calmFrom()+idleFor+30*time.Second) }
 
-// beside maps each waiting task to the time since which there has always been free capacity for it, judged by the
+// waitingSince maps each waiting task to the time since which there has always been free capacity for it, judged by the
 // actual state of the machines.
-type beside map[placeOf]time.Duration
+type waitingSince map[taskKey]time.Duration
 
-// placeOf identifies a task independently of its machine.
-type placeOf struct {
+// taskKey identifies a task independently of its machine.
+type taskKey struct {
 	job   *job
 	index int
 }
 
 // watchIdleCapacity checks for unused capacity periodically from the given time on.
 func (w *cluster) watchIdleCapacity(from time.Duration) {
-	waits := beside{}
+	waits := waitingSince{}
 	var look func()
 	look = func() {
 		w.checkIdleCapacity(waits, w.sim.Now())
@@ -42,11 +42,11 @@
 
 // checkIdleCapacity updates which tasks wait although there is free capacity for them, and reports idle_room as
 // broken for a task that has waited too long.
-func (w *cluster) checkIdleCapacity(waits beside, now time.Duration) {
+func (w *cluster) checkIdleCapacity(waits waitingSince, now time.Duration) {
 	for _, j := range w.all {
 		room := w.hasCapacityFor(j)
 		for i := range j.finished {
-			at := placeOf{j, i}
+			at := taskKey{j, i}
 			since, waited := waits[at]
 			switch {
 			case !room || j.finished[i] || w.placed(j, i):
--- a/internal/simtest/idle_capacity_test.go
+++ b/internal/simtest/idle_capacity_test.go
@@ -10,14 +10,14 @@
 // A task that waits for 90 s while there is free capacity for it breaks idle_room; a task that cannot run yet does not.
 // There are three machines in zones a, a and b, the last one a spot machine. Each job has two tasks that need half a
 // machine each.
-func TestIdleRoom(t *testing.T) {
+func TestIdleCapacityRule(t *testing.T) {
 	type at struct {
 		w *cluster
 		j *job
 		m []*worker
 	}
-	put := func(c at, m int, j *job, index int) *copyOf {
-		x := &copyOf{job: j, index: index, attempt: 1, on: true, state: model.TaskRunning}
+	put := func(c at, m int, j *job, index int) *taskAttempt {
+		x := &taskAttempt{job: j, index: index, attempt: 1, on: true, state: model.TaskRunning}
 		c.m[m].tasks = append(c.m[m].tasks, x)
 		return x
 	}
@@ -87,7 +87,7 @@
 		}
 		x := at{w, j, w.cloud.machines}
 		c.do(x)
-		waits := beside{}
+		waits := waitingSince{}
 		for now := time.Duration(0); now < idleFor; now += lookEvery {
 			if c.then != nil {
 				c.then(x, now)
@@ -106,10 +106,10 @@
 }
 
 // A schedule runs long enough for idle_room to break, however short its jobs are.
-func TestLasts(t *testing.T) {
+func TestScheduleIsLongEnoughForIdleCapacityRule(t *testing.T) {
 	for seed := 1; seed <= 200; seed++ {
-		if p := OverlappingFaults.Example(seed); p.lasts() < p.calmFrom()+idleFor+20*sec || p.lasts() < p.bound() {
-			t.Errorf("seed %d: played for %v, troubles end after %v", seed, p.lasts(), p.ended())
+		if p := OverlappingFaults.Example(seed); p.playedUntil() < p.calmFrom()+idleFor+20*sec || p.playedUntil() < p.bound() {
+			t.Errorf("seed %d: played for %v, troubles end after %v", seed, p.playedUntil(), p.ended())
 		}
 	}
 }
@@ -117,7 +117,7 @@
 // The idle_room rule also works with running controllers. A task was submitted with a restriction to zone a, where
 // nothing is free. The rule breaks if the task may in truth run in any zone, as zone b has free capacity, and holds if
 // the restriction is true.
-func TestIdleRoomIsSeen(t *testing.T) {
+func TestIdleCapacityRuleWithRunningControllers(t *testing.T) {
 	for _, c := range []struct{ truth, want string }{{"a", ""}, {"", "idle_room"}} {
 		p := Plan{Seed: 3, Machines: 1, Lease: 10 * sec, Cancel: 24 * sec}
 		for i, zone := range []string{"a", "b", "a"} { // the machine in a is full, that in b half
@@ -132,7 +132,7 @@
 		}
 		w.sim.At(12*sec, func() { w.all[2].spec.Zone = c.truth })
 		w.watchIdleCapacity(p.ended())
-		for w.sim.Now() <= p.lasts() && w.sim.broken == "" {
+		for w.sim.Now() <= p.playedUntil() && w.sim.broken == "" {
 			w.sim.Step()
 		}
 		if w.sim.broken != c.want || w.starts != 3 {
--- a/internal/simtest/machines.go
+++ b/internal/simtest/machines.go
@@ -137,7 +137,7 @@
 
 	session, seq, token uint64
 	leased              time.Duration // when the last answered heartbeat was sent, or the session began
-	tasks               []*copyOf
+	tasks               []*taskAttempt
 	reportTo            int
 	sent                uint64 // number of the heartbeat that awaits an answer, 0: none
 	reports             uint64
@@ -146,8 +146,8 @@
 	reported            time.Duration // when the last heartbeat was sent
 }
 
-// copyOf is one attempt of a task on a machine.
-type copyOf struct {
+// taskAttempt is one attempt of a task on a machine.
+type taskAttempt struct {
 	job     *job
 	index   int
 	attempt uint64
@@ -183,7 +183,7 @@
 		return
 	}
 	m.up, m.upAt = true, m.cluster.sim.Now()
-	m.cluster.sim.tell("%s is up in zone %s, spot %v", m.name, m.pool.Zone, m.spot)
+	m.cluster.sim.logf("%s is up in zone %s, spot %v", m.name, m.pool.Zone, m.spot)
 	m.newSession()
 	m.report()
 }
@@ -194,7 +194,7 @@
 
 func (m *worker) newSession() {
 	if len(m.tasks) > 0 {
-		m.cluster.sim.tell("%s kills its tasks: its lease is over", m.name)
+		m.cluster.sim.logf("%s kills its tasks: its lease is over", m.name)
 	}
 	for _, t := range m.tasks {
 		m.off(t)
@@ -225,7 +225,7 @@
 	if m.terminated {
 		return
 	}
-	m.cluster.sim.tell("%s is %s", m.name, why)
+	m.cluster.sim.logf("%s is %s", m.name, why)
 	for _, t := range m.tasks {
 		if why == "stopped" && t.on && t.job.spec.Zone != "" {
 			m.cluster.met[MetZoneLoses]++
@@ -238,13 +238,13 @@
 	}
 }
 
-// back ends the machine and all its tasks. After the given time its worker restarts under the same name and address
+// restart ends the machine and all its tasks. After the given time its worker restarts under the same name and address
 // with empty state.
-func (m *worker) back(after time.Duration) {
+func (m *worker) restart(after time.Duration) {
 	if m.down {
 		return
 	}
-	m.cluster.sim.tell("%s is gone, for %v", m.name, after)
+	m.cluster.sim.logf("%s is gone, for %v", m.name, after)
 	for _, t := range m.tasks {
 		m.off(t)
 	}
@@ -255,7 +255,7 @@
 			return
 		}
 		m.down, m.session, m.token, m.due, m.reported = false, 0, 0, 0, 0
-		m.cluster.sim.tell("%s is back", m.name)
+		m.cluster.sim.logf("%s is back", m.name)
 		m.newSession()
 	})
 }
@@ -376,37 +376,37 @@
 		return // an answer with an older token is dropped: it neither carries out commands nor renews the lease
 	}
 	m.leased = max(m.leased, sent)
-	m.sees(v.Token)
-	m.obey(v.Commands)
+	m.observeToken(v.Token)
+	m.execute(v.Commands)
 }
 
-func (m *worker) sees(token uint64) {
+func (m *worker) observeToken(token uint64) {
 	if token > m.token {
 		m.token = token
 		m.kick()
 	}
 }
 
-// orders handles a direct call with commands.
-func (m *worker) orders(o model.DirectCommands) (int, *model.Heartbeat) {
+// handleDirectCall handles a direct call with commands.
+func (m *worker) handleDirectCall(o model.DirectCommands) (int, *model.Heartbeat) {
 	if o.Token < m.token || o.Session != m.session {
 		return 409, m.message()
 	}
 	if m.cluster.sim.Now() < m.mute {
 		m.cluster.met[MetCallToMute]++
 	}
-	m.sees(o.Token)
-	m.obey(o.Commands)
+	m.observeToken(o.Token)
+	m.execute(o.Commands)
 	return 200, m.message()
 }
 
-func (m *worker) find(job string, index int) (at *copyOf, same func(attempt uint64) *copyOf) {
+func (m *worker) find(job string, index int) (at *taskAttempt, same func(attempt uint64) *taskAttempt) {
 	for _, t := range m.tasks {
 		if t.job.id == job && t.index == index && t.state != model.TaskExited {
 			at = t
 		}
 	}
-	return at, func(attempt uint64) *copyOf {
+	return at, func(attempt uint64) *taskAttempt {
 		for _, t := range m.tasks {
 			if t.job.id == job && t.index == index && t.attempt == attempt {
 				return t
@@ -416,7 +416,7 @@
 	}
 }
 
-func (m *worker) obey(commands []model.Command) {
+func (m *worker) execute(commands []model.Command) {
 	for _, c := range commands {
 		id, index, _ := model.SplitTask(c.Task)
 		live, same := m.find(id, index)
@@ -426,14 +426,14 @@
 			if t != nil {
 				continue
 			}
-			t = &copyOf{job: m.cluster.jobs[id], index: index, attempt: c.Attempt, state: model.TaskFetching}
+			t = &taskAttempt{job: m.cluster.jobs[id], index: index, attempt: c.Attempt, state: model.TaskFetching}
 			if t.job == nil {
 				m.cluster.sim.breaks("invented", "%s is told to start %s, which nobody submitted", m.name, c.Task)
 				return
 			}
 			m.tasks = append(m.tasks, t)
 			m.cluster.startedOn(m, c.Task, c.Attempt)
-			m.cluster.sim.tell("%s is told to start %s, attempt %x", m.name, c.Task, c.Attempt)
+			m.cluster.sim.logf("%s is told to start %s, attempt %x", m.name, c.Task, c.Attempt)
 			switch {
 			case live != nil:
 				m.exit(t, model.CauseBusy)
@@ -458,7 +458,7 @@
 }
 
 // freeExcept returns the free capacity of the machine, not counting the given task, which is already on its list.
-func (m *worker) freeExcept(but *copyOf) model.Size {
+func (m *worker) freeExcept(but *taskAttempt) model.Size {
 	room := machineType.Size
 	for _, t := range m.tasks {
 		if t != but && t.state != model.TaskExited {
@@ -468,7 +468,7 @@
 	return room
 }
 
-func (m *worker) has(t *copyOf) bool {
+func (m *worker) has(t *taskAttempt) bool {
 	for _, x := range m.tasks {
 		if x == t {
 			return !m.terminated && t.state != model.TaskExited
@@ -478,7 +478,7 @@
 }
 
 // fetched handles the end of a task's image fetch: the task is on its machine from then on.
-func (m *worker) fetched(t *copyOf) {
+func (m *worker) fetched(t *taskAttempt) {
 	if !m.has(t) {
 		return
 	}
@@ -512,8 +512,8 @@
 	})
 }
 
-func (m *worker) run(t *copyOf) {
-	t.state, t.ranAt, t.from = model.TaskRunning, m.cluster.sim.Now(), t.job.kept[t.part()]
+func (m *worker) run(t *taskAttempt) {
+	t.state, t.ranAt, t.from = model.TaskRunning, m.cluster.sim.Now(), t.job.kept[t.progressKey()]
 	m.cluster.attempts[t.job.spec.Team]++
 	m.kick()
 	if t.job.spec.Shape == model.Service {
@@ -544,14 +544,14 @@
 	})
 }
 
-func (m *worker) done(t *copyOf) {
+func (m *worker) done(t *taskAttempt) {
 	t.job.finished[t.index] = true
-	m.cluster.sim.tell("%s is done on %s", model.TaskName(t.job.id, t.index), m.name)
+	m.cluster.sim.logf("%s is done on %s", model.TaskName(t.job.id, t.index), m.name)
 	m.exit(t, model.CauseDone)
-	m.cluster.lastDone(t.job)
+	m.cluster.lastTaskDone(t.job)
 }
 
-func (m *worker) exit(t *copyOf, why model.Cause) {
+func (m *worker) exit(t *taskAttempt, why model.Cause) {
 	if t.state == model.TaskExited {
 		return
 	}
@@ -561,18 +561,18 @@
 }
 
 // off removes a task from its machine. The other tasks of a running gang exit when they notice that.
-func (m *worker) off(t *copyOf) {
+func (m *worker) off(t *taskAttempt) {
 	if !t.on {
 		return
 	}
 	t.on = false
 	w := m.cluster
-	w.lose(t)
+	w.recordTaskLoss(t)
 	if t.ranAt > 0 {
 		w.used[t.job.spec.Team] += time.Duration(float64(w.sim.Now()-t.ranAt) * t.job.spec.Size.CPUs)
 		t.ranAt = 0
 	}
-	w.left(m, t)
+	w.removePlaced(m, t)
 	if t.job.spec.Shape != model.Gang || t.cause == model.CauseDone {
 		return
 	}
--- a/internal/simtest/operators.go
+++ b/internal/simtest/operators.go
@@ -47,7 +47,7 @@
 			err := w.operate(&operatorspb.Request{Caller: &operatorspb.Caller{Name: "operator"}, What: &operatorspb.Request_Drain{Drain: q}})
 			tried = true
 			if err == nil {
-				w.sim.tell("%s is drained, the operator is told", name)
+				w.sim.logf("%s is drained, the operator is told", name)
 				w.drained[name] = true
 				break
 			}
@@ -65,7 +65,7 @@
 			delete(w.drained, name) // the undrain may be applied before it is answered
 			err := w.operate(&operatorspb.Request{What: &operatorspb.Request_Undrain{Undrain: &operatorspb.UndrainRequest{Node: q.Node, Zone: q.Zone}}})
 			if err == nil {
-				w.sim.tell("%s is undrained", name)
+				w.sim.logf("%s is undrained", name)
 				w.sim.After(drainWritesDone, func() {
 					if it, gone := w.store.Get((&placement.Drain{Scope: scope, Name: what}).Key()); gone == nil {
 						w.sim.breaks("undrained", "%s is drained again by %s, %v after an operator was told that it is not", name, it.Value, drainWritesDone)
--- a/internal/simtest/overlapping_faults_test.go
+++ b/internal/simtest/overlapping_faults_test.go
@@ -11,14 +11,14 @@
 
 const sec = time.Second
 
-// wrong returns a fault of a controller or a machine; start and duration are in seconds.
-func wrong(kind string, at, length float64, a int) Fault {
+// newFault returns a fault of a controller or a machine; start and duration are in seconds.
+func newFault(kind string, at, length float64, a int) Fault {
 	return Fault{Kind: kind, At: time.Duration(at * float64(sec)), For: time.Duration(length * float64(sec)), A: a}
 }
 
-// wrongHeld returns such a fault that delays packets instead of dropping them, or makes machines hang.
-func wrongHeld(kind string, at, length float64, a int) Fault {
-	f := wrong(kind, at, length, a)
+// newHeldFault returns such a fault that delays packets instead of dropping them, or makes machines hang.
+func newHeldFault(kind string, at, length float64, a int) Fault {
+	f := newFault(kind, at, length, a)
 	f.Hold = true
 	return f
 }
@@ -32,10 +32,10 @@
 	{"donorline", 4 * sec, 26 * sec, 46 * sec},
 }
 
-// long returns a schedule with jobs of every shape that would run for its whole length. Each is cancelled at the given
-// time through a controller that the state service does not refuse. Another job ends task by task, and one is
+// longRunningPlan returns a schedule with jobs of every shape that would run for its whole length. Each is cancelled at
+// the given time through a controller that the state service does not refuse. Another job ends task by task, and one is
 // submitted late, after the faults began.
-func long(d int, seed uint64, late time.Duration, cancels [4]time.Duration, faults ...Fault) Plan {
+func longRunningPlan(d int, seed uint64, late time.Duration, cancels [4]time.Duration, faults ...Fault) Plan {
 	x := deployments[d]
 	p := Plan{Seed: seed, Machines: 2, Report: x.report, Lease: x.lease, Cancel: x.cancel, Faults: faults}
 	for i, shape := range []model.Shape{model.Array, model.Gang, model.Service, model.Array} {
@@ -50,10 +50,10 @@
 // the simulated clocks. A task that stays longer was delayed by something that the budget does not include.
 const margin = 1900 * time.Millisecond
 
-// each runs a schedule for both deployments and some seeds and returns the worst values: how long tasks of a cancelled
-// job stayed, and how long after the last fault a task first began. least is the number of cancellations that must
-// have been confirmed in each run.
-func each(t *testing.T, name string, seeds uint64, least int, plan func(d int, seed uint64) Plan, look ...func(where string, out Outcome)) (gone, again time.Duration) {
+// runInDeployments runs a schedule for both deployments and some seeds and returns the worst values: how long tasks of
+// a cancelled job stayed, and how long after the last fault a task first began. least is the number of cancellations
+// that must have been confirmed in each run.
+func runInDeployments(t *testing.T, name string, seeds uint64, least int, plan func(d int, seed uint64) Plan, look ...func(where string, out Outcome)) (gone, again time.Duration) {
 	var group sync.WaitGroup
 	var lock sync.Mutex
 	for d, x := range deployments {
@@ -94,10 +94,10 @@
 		for _, after := range []time.Duration{-2 * sec, 300 * time.Millisecond, 2 * sec, 5500 * time.Millisecond, 6500 * time.Millisecond, 10 * sec} {
 			for _, times := range []float64{0.5, 1, 2} {
 				name := fmt.Sprintf("refused for %v, out %v after that for %v times cancel_s", refused, after, times)
-				gone, again := each(t, name, 2, 4, func(d int, seed uint64) Plan {
+				gone, again := runInDeployments(t, name, 2, 4, func(d int, seed uint64) Plan {
 					c := at + 50*time.Millisecond
 					step := max(after, 200*time.Millisecond) / 4
-					return long(d, seed, at+20*sec, [4]time.Duration{c, c + step, c + 2*step, c + 3*step},
+					return longRunningPlan(d, seed, at+20*sec, [4]time.Duration{c, c + step, c + 2*step, c + 3*step},
 						Fault{Kind: "store refuses node", At: at, For: refused, A: 7},
 						Fault{Kind: "outage", At: at + after, For: time.Duration(times * float64(deployments[d].cancel))})
 				})
@@ -117,7 +117,7 @@
 // Each combination of faults that users have named is scripted here, see docs/meetings.md.
 func TestMeetings(t *testing.T) {
 	near := [4]time.Duration{40 * sec, 42 * sec, 45 * sec, 52 * sec}
-	f, held := wrong, wrongHeld
+	f, held := newFault, newHeldFault
 	for _, c := range []struct {
 		name   string
 		faults []Fault
@@ -150,8 +150,8 @@
 		{"the gap, the leader stands still in it", []Fault{f("store refuses node", 40, 14, 7), f("freeze", 41, 11, 7), f("outage", 42, 60, 0), f("freeze", 54, 9, 7)}},
 		{"the gap, the leader is back at once", []Fault{f("store refuses node", 40, 14, 7), f("outage", 42, 60, 0), f("crash back", 41.8, 1, 7)}},
 	} {
-		gone, again := each(t, c.name, 6, 4, func(d int, seed uint64) Plan {
-			return long(d, seed, 50*sec, near, c.faults...)
+		gone, again := runInDeployments(t, c.name, 6, 4, func(d int, seed uint64) Plan {
+			return longRunningPlan(d, seed, 50*sec, near, c.faults...)
 		})
 		t.Logf("%-60s gone after %6.2f s, again after %6.2f s", c.name, gone.Seconds(), again.Seconds())
 	}
--- a/internal/simtest/plan.go
+++ b/internal/simtest/plan.go
@@ -88,12 +88,12 @@
 		"crash", "crash back", "crash all back", "store refuses node", "freeze", "late writes"}
 )
 
-// changes are the fault kinds that cause a change of leader.
-var changes = []string{"cut node", "cut node", "cut node from store", "store refuses node", "freeze", "crash", "cut zone"}
+// leaderChangeKinds are the fault kinds that cause a change of leader.
+var leaderChangeKinds = []string{"cut node", "cut node", "cut node from store", "store refuses node", "freeze", "crash", "cut zone"}
 
-// times are pairs of a worker lease and the time limit of a cancellation. A leader acts for 9, 9 and 18 s after
+// leaseTimes are pairs of a worker lease and the time limit of a cancellation. A leader acts for 9, 9 and 18 s after
 // its last read of the leader key, which covers values below and above the lease.
-var times = []struct{ lease, cancel time.Duration }{
+var leaseTimes = []struct{ lease, cancel time.Duration }{
 	{10 * time.Second, 24 * time.Second}, {10 * time.Second, 24 * time.Second}, {6 * time.Second, 20 * time.Second}, {7 * time.Second, 30 * time.Second}}
 
 // troubles is the time by which all faults have ended. After that every accepted job must end within patience plus
@@ -117,13 +117,13 @@
 // faults of the same kind in a row is found sooner than if each fault were drawn from all kinds.
 var Plans = rapid.Custom(func(t *rapid.T) Plan {
 	p := Plan{Seed: rapid.Uint64().Draw(t, "seed"), Machines: rapid.IntRange(1, 3).Draw(t, "machines")}
-	x := rapid.SampledFrom(times).Draw(t, "times")
+	x := rapid.SampledFrom(leaseTimes).Draw(t, "times")
 	p.Lease, p.Cancel = x.lease, x.cancel
 	for i := range rapid.IntRange(1, 6).Draw(t, "jobs") {
 		p.Jobs = append(p.Jobs, drawJob(t, i))
 	}
 	at := seconds(t, "first", 6, 13)
-	some := changes
+	some := leaderChangeKinds
 	if rapid.IntRange(0, 2).Draw(t, "apart") == 2 { // leaders change while controllers cannot connect to each other
 		p.Faults = append(p.Faults, Fault{Kind: "refuse", At: at, For: seconds(t, "for", 15, 40)})
 		at += seconds(t, "gap", 0, 8)
@@ -204,8 +204,10 @@
 		"store refuses node", "alone with workers"}, f.Kind)
 }
 
-// atOnce returns the downtime of a process or machine that restarts at once: 50 to 900 ms.
-func (f Fault) atOnce() time.Duration { return 50*time.Millisecond + f.For%(850*time.Millisecond) }
+// restartDelay returns the downtime of a process or machine that restarts at once: 50 to 900 ms.
+func (f Fault) restartDelay() time.Duration {
+	return 50*time.Millisecond + f.For%(850*time.Millisecond)
+}
 
 // ended returns the time at which the last fault is over, including the pause before a process restarts.
 func (p Plan) ended() (out time.Duration) {
@@ -315,20 +317,20 @@
 	if p.script != nil {
 		p.script(w)
 	}
-	w.sim.At(p.ended()+answerWithin, func() { w.known(p.ended()) })
+	w.sim.At(p.ended()+answerWithin, func() { w.checkKnown(p.ended()) })
 	w.watchIdleCapacity(p.ended())
 	defer w.end()
 	out := Outcome{Trace: 14695981039346656037}
-	for w.sim.Pending() > 0 && w.sim.broken == "" && w.sim.Now() <= p.lasts() && !w.served() {
+	for w.sim.Pending() > 0 && w.sim.broken == "" && w.sim.Now() <= p.playedUntil() && !w.served() {
 		w.sim.Step()
 		out.Events++
 		out.Trace = (out.Trace ^ uint64(w.sim.Now())) * 1099511628211
 	}
 	if p.Accounts && w.sim.broken == "" {
-		w.countAgain()
+		w.checkUsageCounted()
 	}
 	out.Broken, out.Starts = w.sim.broken, w.starts
-	out.StopTime, out.Cancelled, out.Again, out.Missed, out.Met = w.stopTime, w.told, w.again, w.missed, w.met
+	out.StopTime, out.Cancelled, out.Again, out.Missed, out.Met = w.stopTime, w.confirmedCancellations, w.firstStartAfterFaults, w.missed, w.met
 	out.Checkpoints, out.Caught, out.CaughtStopTime = w.checkpoints, w.caught, w.caughtStopTime
 	return out
 }
@@ -366,7 +368,7 @@
 // fault starts a fault.
 func (w *cluster) fault(f Fault) {
 	s, a, b := w.sim, w.controller(f.A), w.controller(f.B)
-	s.tell("%s", f.story(a, b))
+	s.logf("%s", f.story(a, b))
 	cut := func(blocks func(from, to *place) bool) {
 		w.net.cut(&cut{until: s.Now() + f.For, hold: f.Hold, blocks: blocks})
 	}
@@ -432,14 +434,14 @@
 	case "alone with workers":
 		between(a.place, func(p *place) bool { return p.role == controllerRole || p.role == storeRole })
 	case "crash back":
-		a.crash(f.atOnce())
+		a.crash(f.restartDelay())
 	case "crash all back":
 		for _, n := range w.nodes {
-			n.crash(f.atOnce() + s.Between(0, 200*time.Millisecond))
+			n.crash(f.restartDelay() + s.Between(0, 200*time.Millisecond))
 		}
 	case "machine back":
 		if m != nil {
-			m.back(f.atOnce())
+			m.restart(f.restartDelay())
 		}
 	case "crash":
 		a.crash(f.For/4 + 500*time.Millisecond)
@@ -518,9 +520,9 @@
 	case "alone with workers":
 		what = fmt.Sprintf("%s alone with the workers, packets are %s", a.place.name, how)
 	case "crash back":
-		what = fmt.Sprintf("crash %s, back after %v", a.place.name, f.atOnce())
+		what = fmt.Sprintf("crash %s, back after %v", a.place.name, f.restartDelay())
 	case "machine back":
-		what = fmt.Sprintf("machine %d ends, back after %v", f.A, f.atOnce())
+		what = fmt.Sprintf("machine %d ends, back after %v", f.A, f.restartDelay())
 	case "store refuses node", "crash", "freeze":
 		what = fmt.Sprintf("%s %s", f.Kind, a.place.name)
 	case "hang machine", "stop machine", "mute machine":
--- a/internal/simtest/rare_faults.go
+++ b/internal/simtest/rare_faults.go
@@ -151,7 +151,7 @@
 		}
 		w.users.Spawn(func() {
 			w.users.Sleep(w.sim.Between(0, 200*time.Millisecond))
-			w.callOff(j, false)
+			w.cancelUntilFinal(j, false)
 		})
 	}
 	if n == 0 {
@@ -159,14 +159,14 @@
 	}
 }
 
-// lookClosely makes a job's user query all controllers and repeat the submission within milliseconds after the job's
-// stage changed. Some users also cancel at once.
-func (w *cluster) lookClosely(j *job) {
+// queryAllControllers makes a job's user query all controllers and repeat the submission within milliseconds after the
+// job's stage changed. Some users also cancel at once.
+func (w *cluster) queryAllControllers(j *job) {
 	if w.sim.Now() >= w.rare.closeLooks {
 		return
 	}
 	if w.sim.Rand.IntN(6) == 0 && !j.told.Final() {
-		w.users.Spawn(func() { w.callOff(j, false) })
+		w.users.Spawn(func() { w.cancelUntilFinal(j, false) })
 	}
 	for _, n := range w.nodes {
 		for _, x := range []struct {
@@ -185,8 +185,8 @@
 	}
 }
 
-// lastDone makes a job's user cancel, query and resubmit it at all controllers as its last task ends.
-func (w *cluster) lastDone(j *job) {
+// lastTaskDone makes a job's user cancel, query and resubmit it at all controllers as its last task ends.
+func (w *cluster) lastTaskDone(j *job) {
 	if w.sim.Now() >= w.rare.cancelAtEnd || !j.allDone() || j.told.Final() {
 		return
 	}
@@ -207,8 +207,8 @@
 	}
 }
 
-// notOlder checks that an answer is not older than what its user had been told before the request.
-func (w *cluster) notOlder(j *job, what string, n *node, a httpwire.Answer, known bool, before model.Stage) {
+// checkNotOlder checks that an answer is not older than what its user had been told before the request.
+func (w *cluster) checkNotOlder(j *job, what string, n *node, a httpwire.Answer, known bool, before model.Stage) {
 	if a.Status != 200 && a.Status != 201 {
 		if known && (a.Status == 404 || a.Status == 400 || a.Status == 422) {
 			w.sim.breaks("forgotten", "a %s of %s at %s is answered %d", what, j.id, n.place.name, a.Status)
@@ -220,13 +220,14 @@
 	}
 	if err := json.Unmarshal(a.Body, &v); err != nil {
 		w.sim.breaks("garbled", "%s", a.Body)
-	} else if age(v.Stage) < age(before) {
+	} else if stageOrder(v.Stage) < stageOrder(before) {
 		w.sim.breaks("older_answer", "a %s of %s at %s is answered %s; its user had been told %s", what, j.id, n.place.name, v.Stage, before)
 	}
 }
 
-// age returns the position of a stage in the order of stages. No user may see an earlier stage after a later one.
-func age(s model.Stage) int {
+// stageOrder returns the position of a stage in the order of stages. No user may see an earlier stage after a later
+// one.
+func stageOrder(s model.Stage) int {
 	switch s {
 	case "":
 		return 0
--- a/internal/simtest/rare_faults_test.go
+++ b/internal/simtest/rare_faults_test.go
@@ -12,7 +12,7 @@
 // The combinations of faults of the users' second page are scripted here, see docs/meetings.md. Each row lists the
 // events that must have occurred in each run, or, where they depend on chance, in at least one of its seeds.
 func TestFurtherMeetings(t *testing.T) {
-	f, held := wrong, wrongHeld
+	f, held := newFault, newHeldFault
 	near := [4]time.Duration{40 * sec, 42 * sec, 45 * sec, 52 * sec}
 	type row struct {
 		name   string
@@ -105,8 +105,8 @@
 		least := 2
 		var total [MetKinds]int
 		plays := 0
-		gone, again := each(t, c.name, 4, least, func(d int, seed uint64) Plan {
-			p := long(d, seed, 50*sec, near, c.faults...)
+		gone, again := runInDeployments(t, c.name, 4, least, func(d int, seed uint64) Plan {
+			p := longRunningPlan(d, seed, 50*sec, near, c.faults...)
 			if c.with != nil {
 				c.with(&p)
 			}
--- a/internal/simtest/regions.go
+++ b/internal/simtest/regions.go
@@ -113,7 +113,7 @@
 
 // cutOff cuts a region off from the others.
 func (r *regionSet) cutOff(c RegionCut) {
-	r.sim.tell("FAULT for %v: region %s is cut off", c.For, regionNames[c.Region])
+	r.sim.logf("FAULT for %v: region %s is cut off", c.For, regionNames[c.Region])
 	r.net.cut(&cut{until: r.sim.Now() + c.For, hold: c.Hold, blocks: func(from, to *place) bool {
 		return r.in(from, c.Region) != r.in(to, c.Region)
 	}})
@@ -161,9 +161,9 @@
 	}
 }
 
-// stumble returns a function that draws the outcome of an account write: the leader crashes before or after it, its
-// answer is lost, or it is applied late.
-func (r *regionSet) stumble(share float64) func(c storeClient, t store.Txn) fate {
+// accountWriteFates returns a function that draws the outcome of an account write: the leader crashes before or after
+// it, its answer is lost, or it is applied late.
+func (r *regionSet) accountWriteFates(share float64) func(c storeClient, t store.Txn) fate {
 	return func(c storeClient, t store.Txn) fate {
 		ofAccount := len(t.Writes) > 0 && strings.HasPrefix(t.Writes[0].Set, "quota/")
 		if !ofAccount || r.sim.Now() > troubles || r.sim.Rand.Float64() >= share {
@@ -172,15 +172,15 @@
 		crash := func() { c.n.crash(r.sim.Between(100*time.Millisecond, 4*time.Second)) }
 		switch r.sim.Rand.IntN(5) {
 		case 0:
-			r.sim.tell("%s ends before it writes an account", c.n.place.name)
+			r.sim.logf("%s ends before it writes an account", c.n.place.name)
 			r.sim.After(0, crash)
 			return held
 		case 1:
-			r.sim.tell("%s ends after it wrote an account", c.n.place.name)
+			r.sim.logf("%s ends after it wrote an account", c.n.place.name)
 			r.sim.After(0, crash)
 			return unanswered
 		case 2:
-			r.sim.tell("%s writes an account late", c.n.place.name)
+			r.sim.logf("%s writes an account late", c.n.place.name)
 			r.sim.After(r.sim.Between(2*time.Second, 12*time.Second), func() { c.late(t) })
 			return held
 		case 3:
@@ -208,7 +208,7 @@
 		plan := p.Regions[i]
 		plan.shared = sharedTeams
 		if p.Steps > 0 {
-			plan.fates = r.stumble(p.Steps)
+			plan.fates = r.accountWriteFates(p.Steps)
 		}
 		w, err := newClusterIn(s, plan, level, nil, r, i)
 		if err != nil {
--- a/internal/simtest/sim.go
+++ b/internal/simtest/sim.go
@@ -17,7 +17,7 @@
 	broken string           // the first rule that was broken, or ""
 }
 
-func (s *sim) tell(format string, args ...any) {
+func (s *sim) logf(format string, args ...any) {
 	if s.story != nil {
 		fmt.Fprintf(s.story, "%8.3f  "+format+"\n", append([]any{s.Now().Seconds()}, args...)...)
 	}
@@ -27,6 +27,6 @@
 func (s *sim) breaks(rule, format string, args ...any) {
 	if s.broken == "" {
 		s.broken = rule
-		s.tell("RULE BROKEN %s: "+format, append([]any{rule}, args...)...)
+		s.logf("RULE BROKEN %s: "+format, append([]any{rule}, args...)...)
 	}
 }
--- a/internal/simtest/small_test.go
+++ b/internal/simtest/small_test.go
@@ -18,9 +18,9 @@
 // after its limits were lowered).
 const putsLeast = 18
 
-// small returns a schedule of one-task jobs, four per second for the given time. Every fourth job is cancelled,
+// smallJobsPlan returns a schedule of one-task jobs, four per second for the given time. Every fourth job is cancelled,
 // alternately before a controller has placed it and while it runs.
-func small(seed uint64, d int, length time.Duration) Plan {
+func smallJobsPlan(seed uint64, d int, length time.Duration) Plan {
 	x := deployments[d]
 	p := Plan{Seed: seed, Machines: 6, Report: x.report, Lease: x.lease, Cancel: x.cancel}
 	for i := range int(length / (250 * time.Millisecond)) {
@@ -129,14 +129,14 @@
 // the end and stay so at every controller.
 func TestSmallJobsFast(t *testing.T) {
 	const length, answered = 10 * time.Minute, 6 * sec // a user waits 5 s and retries one second later
-	p := small(1, 1, length)
+	p := smallJobsPlan(1, 1, length)
 	wants := map[string]time.Duration{}
 	writes, slowest := 0, time.Duration(0)
 	var w *cluster
 	began := time.Now()
 	out := played(t, p, 0, nil, func(made *cluster) {
 		w = made
-		w.writeRPS, w.spare = putsLeast, putsLeast
+		w.writeRPS, w.writeBudget = putsLeast, putsLeast
 		w.store.OnTxn = func(txn store.Txn) { writes += len(txn.Writes) }
 	}, func(w *cluster) {
 		for i, j := range w.all {
@@ -175,7 +175,7 @@
 func BenchmarkSmallJobs(b *testing.B) {
 	b.ReportAllocs()
 	for b.Loop() {
-		if out := played(b, small(1, 1, time.Minute), 0, nil, func(*cluster) {}); out != "" {
+		if out := played(b, smallJobsPlan(1, 1, time.Minute), 0, nil, func(*cluster) {}); out != "" {
 			b.Fatal(out)
 		}
 	}
@@ -183,12 +183,12 @@
 
 // After many small jobs the leader's state is no larger than after a few, the three controllers allocate no more in a
 // quiet minute, and the leader has told the owners to forget the size of every job.
-func TestSmallJobsLeaveNothing(t *testing.T) {
+func TestFinishedSmallJobsLeaveNoState(t *testing.T) {
 	left := func(length time.Duration) (jobs, bytes int, allocated float64, known int) {
 		tap := &sizes{}
 		var from, to runtime.MemStats
 		quiet := 0
-		p := small(1, 1, length)
+		p := smallJobsPlan(1, 1, length)
 		knows, told := map[int]map[string]bool{}, 0 // jobs whose sizes each owner knows; number of sizes sent
 		out := played(t, p, 80*sec, func() scheduler.Recorder { return tap }, func(w *cluster) {
 			w.rounds = func(to int, r *peerspb.RoundRequest) {
--- a/internal/simtest/store.go
+++ b/internal/simtest/store.go
@@ -20,7 +20,7 @@
 func storeCall[T any](c storeClient, atMost time.Duration, do func(reply func(T, error))) (T, error) {
 	n := c.n
 	v := n.cluster.store
-	r, ok := ask(n.process, n.cluster.net, n.place, n.cluster.storeAt, atMost, func(reply func(result[T])) {
+	r, ok := ask(n.process, n.cluster.net, n.place, n.cluster.storePlace, atMost, func(reply func(result[T])) {
 		if v.Refuses(n.place.name) {
 			var none T
 			reply(result[T]{none, store.ErrRefused})
@@ -68,15 +68,15 @@
 	return l.items, l.rev, err
 }
 
-// errTooMany represents the state service's status 429.
-var errTooMany = errors.New("too many writes")
+// errTooManyWrites represents the state service's status 429.
+var errTooManyWrites = errors.New("too many writes")
 
 // Commit retries transactions that the service rejects because of its write rate, like the production client.
 func (c storeClient) Commit(_ context.Context, t store.Txn) (store.TxnResult, error) {
 	w := c.n.cluster
 	for until := w.sim.Now() + storeTimeout; ; c.n.process.Sleep(w.sim.Between(100*time.Millisecond, 200*time.Millisecond)) {
 		out, err := c.transact(t)
-		if !errors.Is(err, errTooMany) {
+		if !errors.Is(err, errTooManyWrites) {
 			return out, err
 		}
 		if w.sim.Now() > until {
@@ -95,8 +95,8 @@
 		case held:
 			return
 		}
-		if !w.takes(len(t.Writes)) {
-			reply(store.TxnResult{}, errTooMany)
+		if !w.admitsWrites(len(t.Writes)) {
+			reply(store.TxnResult{}, errTooManyWrites)
 			return
 		}
 		if w.sim.Now() < w.lateWrites && w.sim.Rand.IntN(2) == 0 {
@@ -108,7 +108,7 @@
 			w.wrote(t)
 			if w.sim.Now() < w.rare.unansweredWrites && len(t.Writes) > 0 && w.sim.Rand.IntN(2) == 0 {
 				w.met[MetUnansweredWrite]++
-				w.sim.tell("carried out, and the answer lost, of %s: %v", c.n.place.name, t.Writes[0].Set+t.Writes[0].Delete)
+				w.sim.logf("carried out, and the answer lost, of %s: %v", c.n.place.name, t.Writes[0].Set+t.Writes[0].Delete)
 				return
 			}
 		}
@@ -133,19 +133,19 @@
 	return p.fates(c, t)
 }
 
-// takes reports whether the state service accepts n puts and deletes now, and deducts them from the budget. Bursts
-// of up to one second's budget are accepted.
-func (w *cluster) takes(n int) bool {
+// admitsWrites reports whether the state service accepts n puts and deletes now, and deducts them from the budget.
+// Bursts of up to one second's budget are accepted.
+func (w *cluster) admitsWrites(n int) bool {
 	if w.writeRPS == 0 {
 		return true
 	}
 	now := w.sim.Now()
-	w.spare, w.spareAt = min(w.writeRPS, w.spare+w.writeRPS*(now-w.spareAt).Seconds()), now
-	if float64(n) > w.spare {
+	w.writeBudget, w.writeBudgetAt = min(w.writeRPS, w.writeBudget+w.writeRPS*(now-w.writeBudgetAt).Seconds()), now
+	if float64(n) > w.writeBudget {
 		w.refused++
 		return false
 	}
-	w.spare -= float64(n)
+	w.writeBudget -= float64(n)
 	return true
 }
 
@@ -165,18 +165,18 @@
 	for _, x := range t.Writes {
 		keys = append(keys, x.Set+x.Delete)
 	}
-	w.sim.tell("carried out late, of %s: %v; guards that failed %v, error %v", c.n.place.name, keys, out.Failed, err)
+	w.sim.logf("carried out late, of %s: %v; guards that failed %v, error %v", c.n.place.name, keys, out.Failed, err)
 }
 
-type news struct {
+type watchResult struct {
 	events []store.Event
 	rev    uint64
 }
 
 // Watch reads the changes since a revision.
 func (c storeClient) Watch(_ context.Context, prefix string, after uint64, wait time.Duration) ([]store.Event, uint64, error) {
-	out, err := storeCall(c, wait+storeTimeout, func(reply func(news, error)) {
-		c.n.cluster.store.Watch(c.n.place.name, prefix, after, wait, func(events []store.Event, rev uint64) { reply(news{events, rev}, nil) })
+	out, err := storeCall(c, wait+storeTimeout, func(reply func(watchResult, error)) {
+		c.n.cluster.store.Watch(c.n.place.name, prefix, after, wait, func(events []store.Event, rev uint64) { reply(watchResult{events, rev}, nil) })
 	})
 	store.SortByRevision(out.events)
 	return out.events, max(after, out.rev), err
@@ -193,5 +193,5 @@
 	return err
 }
 
-// SetBudgets does nothing: the simulated service limits its own rate, see cluster.takes.
+// SetBudgets does nothing: the simulated service limits its own rate, see cluster.admitsWrites.
 func (c storeClient) SetBudgets(store.Budgets) {}
--- a/internal/simtest/usage_answers_test.go
+++ b/internal/simtest/usage_answers_test.go
@@ -102,7 +102,7 @@
 
 // A row without usage states whether the usage is unknown or zero. Once a usage has been reported, it is never reported
 // as zero.
-func TestUnknownUsageIsSaidToBe(t *testing.T) {
+func TestUnknownUsageIsReportedAsUnknown(t *testing.T) {
 	leader := len(zones) // see controller
 	for seed := range uint64(10) {
 		p := Plan{Seed: seed + 1, Machines: 2, Lease: 12 * sec, Cancel: 30 * sec, Accounts: true,
--- a/internal/simtest/users.go
+++ b/internal/simtest/users.go
@@ -26,7 +26,7 @@
 	accepted        bool
 	told            model.Stage   // stage in the last answer
 	toldAt          time.Duration // when
-	acceptedAt      time.Duration // when a query, submission or cancellation was last answered
+	answeredAt      time.Duration // when a query, submission or cancellation was last answered
 	cancelled       time.Duration // when the cancellation of it or of a job it needs was confirmed; -1: not cancelled
 	cancelRequested bool
 }
@@ -65,7 +65,7 @@
 	}
 	w.jobs[id] = j
 	w.all = append(w.all, j)
-	w.sim.tell("user submits %s: %s of %d, team %s, one zone %v %s, spot %v, after %v, takes %v, cancelled after %v", id, spec.Shape, spec.Tasks,
+	w.sim.logf("user submits %s: %s of %d, team %s, one zone %v %s, spot %v, after %v, takes %v, cancelled after %v", id, spec.Shape, spec.Tasks,
 		spec.Team, spec.OneZone, spec.Zone, spec.Spot, spec.Needs, s.Takes, s.Cancel)
 	j.body, _ = json.Marshal(spec)
 	w.users.Spawn(func() {
@@ -89,7 +89,7 @@
 	if s.Cancel > 0 {
 		w.users.Spawn(func() {
 			w.users.Sleep(s.Cancel)
-			w.callOff(j, s.Beside)
+			w.cancelUntilFinal(j, s.Beside)
 		})
 	}
 }
@@ -105,8 +105,8 @@
 	return n.node.API().Cancel(context.Background(), j.id)
 }
 
-// callOff makes a user cancel a job, repeatedly until it is over.
-func (w *cluster) callOff(j *job, beside bool) {
+// cancelUntilFinal makes a user cancel a job, repeatedly until it is over.
+func (w *cluster) cancelUntilFinal(j *job, beside bool) {
 	for !j.accepted {
 		w.users.Sleep(time.Second)
 	}
@@ -129,9 +129,9 @@
 func (w *cluster) via(j *job, what string, n *node, do func(n *node) httpwire.Answer) {
 	sent, known, before := w.sim.Now(), j.accepted, j.told
 	a := w.request(n, do)
-	w.notOlder(j, what, n, a, known, before)
+	w.checkNotOlder(j, what, n, a, known, before)
 	if sent >= j.toldAt {
-		w.hear(j, what, a)
+		w.handleAnswer(j, what, a)
 	}
 }
 
@@ -158,8 +158,8 @@
 	return a
 }
 
-// hear records and checks the answer that a user got.
-func (w *cluster) hear(j *job, what string, a httpwire.Answer) {
+// handleAnswer records and checks the answer that a user got.
+func (w *cluster) handleAnswer(j *job, what string, a httpwire.Answer) {
 	s := w.sim
 	switch {
 	case a.Status == 404 || a.Status == 400 || a.Status == 422:
@@ -181,9 +181,9 @@
 	}
 	news := v.Stage != j.told && (!j.accepted || v.Stage.Final())
 	if v.Stage != j.told {
-		s.tell("user of %s is told: %s", j.id, v.Stage)
+		s.logf("user of %s is told: %s", j.id, v.Stage)
 	}
-	j.accepted, j.acceptedAt = true, s.Now()
+	j.accepted, j.answeredAt = true, s.Now()
 	switch {
 	case j.told.Final() && v.Stage != j.told:
 		s.breaks("went_back", "%s was called %s, now %s", j.id, j.told, v.Stage)
@@ -199,15 +199,15 @@
 		w.cancelled(j)
 	}
 	if news {
-		w.lookClosely(j)
+		w.queryAllControllers(j)
 	}
 }
 
-// known checks that for each job that is not over, a request has been answered since the last fault ended.
-func (w *cluster) known(since time.Duration) {
+// checkKnown checks that for each job that is not over, a request has been answered since the last fault ended.
+func (w *cluster) checkKnown(since time.Duration) {
 	for _, j := range w.all {
-		if j.accepted && !j.told.Final() && j.acceptedAt < since {
-			w.sim.breaks("forgotten", "no question about %s is answered since %v, %v after the last trouble", j.id, j.acceptedAt, answerWithin)
+		if j.accepted && !j.told.Final() && j.answeredAt < since {
+			w.sim.breaks("forgotten", "no question about %s is answered since %v, %v after the last trouble", j.id, j.answeredAt, answerWithin)
 		}
 	}
 }
@@ -218,9 +218,9 @@
 		return
 	}
 	j.cancelled = w.sim.Now()
-	w.told++
+	w.confirmedCancellations++
 	w.confirmed(j)
-	w.catch(j)
+	w.markCaughtSaving(j)
 	w.sim.After(w.plan.Cancel, func() {
 		if len(j.on) > 0 {
 			w.sim.breaks("ran_cancelled", "%s has tasks on machines %v after it was cancelled", j.id, w.plan.Cancel)
@@ -236,14 +236,14 @@
 }
 
 // began checks the rules when a task begins to occupy a machine.
-func (w *cluster) began(m *worker, t *copyOf) {
+func (w *cluster) began(m *worker, t *taskAttempt) {
 	s, j := w.sim, t.job
 	name := model.TaskName(j.id, t.index)
 	w.starts++
-	if w.again == 0 && s.Now() > w.plan.ended() {
-		w.again = s.Now() - w.plan.ended()
+	if w.firstStartAfterFaults == 0 && s.Now() > w.plan.ended() {
+		w.firstStartAfterFaults = s.Now() - w.plan.ended()
 	}
-	s.tell("%s is on %s, attempt %x", name, m.name, t.attempt)
+	s.logf("%s is on %s, attempt %x", name, m.name, t.attempt)
 	w.acted(m, t.attempt)
 	if other := j.on[t.index]; other != nil {
 		s.breaks("ran_twice", "%s starts on %s while it is on %s", name, m.name, other.name)
@@ -294,8 +294,8 @@
 	return used
 }
 
-// left removes a task that has ended from its job's list of placed tasks.
-func (w *cluster) left(m *worker, t *copyOf) {
+// removePlaced removes a task that has ended from its job's list of placed tasks.
+func (w *cluster) removePlaced(m *worker, t *taskAttempt) {
 	if t.job.on[t.index] == m {
 		delete(t.job.on, t.index)
 		if t.job.cancelled >= 0 {
@@ -307,11 +307,11 @@
 // member is a task of a gang on its machine.
 type member struct {
 	m *worker
-	t *copyOf
+	t *taskAttempt
 }
 
 // gang lists the tasks of a task's attempt that are on machines.
-func (w *cluster) gang(t *copyOf) (out []member) {
+func (w *cluster) gang(t *taskAttempt) (out []member) {
 	for _, m := range w.cloud.machines {
 		for _, x := range m.tasks {
 			if x.job == t.job && x.attempt == t.attempt && x.on {
--- a/internal/simtest/writes_test.go
+++ b/internal/simtest/writes_test.go
@@ -42,8 +42,8 @@
 	return false
 }
 
-// ours reports whether the sender holds the leader key.
-func ours(c storeClient) bool {
+// holdsLeaderKey reports whether the sender holds the leader key.
+func holdsLeaderKey(c storeClient) bool {
 	it, err := c.n.cluster.store.Get(leadership.Key)
 	return err == nil && strings.Contains(string(it.Value), c.n.place.name)
 }
@@ -51,8 +51,8 @@
 // writeKinds are the kinds of writes under test. Submissions and cancellations have tests of their own. Settings are
 // not written in the simulation.
 var writeKinds = []writeKind{
-	{"claim of the leader key", func(c storeClient, t store.Txn) bool { return sets(t, leadership.Key) != nil && !ours(c) }, false, false},
-	{"fresh token", func(c storeClient, t store.Txn) bool { return sets(t, leadership.Key) != nil && ours(c) }, false, true},
+	{"claim of the leader key", func(c storeClient, t store.Txn) bool { return sets(t, leadership.Key) != nil && !holdsLeaderKey(c) }, false, false},
+	{"fresh token", func(c storeClient, t store.Txn) bool { return sets(t, leadership.Key) != nil && holdsLeaderKey(c) }, false, true},
 	{"release of a waiting job", func(_ storeClient, t store.Txn) bool {
 		return deletes(t, placement.WaitPrefix) && sets(t, placement.JobPrefix) != nil
 	}, true, false},
@@ -106,8 +106,8 @@
 	}
 }
 
-// anew are restarts of workers, after which the leader takes new fencing tokens.
-var anew = []Fault{{Kind: "machine back", At: 17 * sec, For: 300 * time.Millisecond, A: 1}, {Kind: "machine back", At: 24 * sec, For: 300 * time.Millisecond, A: 2}}
+// restartedWorkers are restarts of workers, after which the leader takes new fencing tokens.
+var restartedWorkers = []Fault{{Kind: "machine back", At: 17 * sec, For: 300 * time.Millisecond, A: 1}, {Kind: "machine back", At: 24 * sec, For: 300 * time.Millisecond, A: 2}}
 
 // met counts what happened to the transactions of a kind.
 type met struct {
@@ -132,10 +132,10 @@
 		m.newer++
 	}
 	c.late(t)
-	m.twice = append(m.twice, c.n.cluster.twice()...)
+	m.twice = append(m.twice, c.n.cluster.duplicateRecords()...)
 }
 
-// lose drops the answers of the first three transactions of a kind and of every third one after that.
+// recordTaskLoss drops the answers of the first three transactions of a kind and of every third one after that.
 func (m *met) lose(k writeKind) func(c storeClient, t store.Txn) fate { return m.some(k, unanswered) }
 
 // drop never applies the same transactions. The sender cannot distinguish this from a lost answer.
@@ -148,7 +148,7 @@
 			return answered
 		}
 		if seen++; seen > 3 && seen%3 != 0 {
-			if c.n.cluster.passes(t) {
+			if c.n.cluster.preconditionsHold(t) {
 				m.after++
 			}
 			return answered
@@ -171,7 +171,7 @@
 		}
 		w, from := c.n.cluster, c.n.place.name
 		if after := waiting[from]; after != nil {
-			if w.passes(t) {
+			if w.preconditionsHold(t) {
 				delete(waiting, from)
 				after(true)
 			}
@@ -200,8 +200,8 @@
 	}
 }
 
-// twice returns the jobs that have more than one record among the waiting, open and final records.
-func (w *cluster) twice() (out []string) {
+// duplicateRecords returns the jobs that have more than one record among the waiting, open and final records.
+func (w *cluster) duplicateRecords() (out []string) {
 	for _, j := range w.all {
 		n := 0
 		for _, prefix := range []string{placement.WaitPrefix, placement.JobPrefix, placement.DonePrefix} {
@@ -232,8 +232,8 @@
 	}
 }
 
-// unnamed returns the machines that have a task and no record.
-func (w *cluster) unnamed() (out []string) {
+// machinesWithoutRecord returns the machines that have a task and no record.
+func (w *cluster) machinesWithoutRecord() (out []string) {
 	ledger := machinerecords.New(machinerecords.Options{MaxOps: 16, MaxValueBytes: 4096, MaxTxnBytes: 48 << 10}, 1)
 	for _, prefix := range []string{machinerecords.SingleRecordPrefix, machinerecords.GroupRecordPrefix} {
 		var items []machinerecords.Item
@@ -256,8 +256,8 @@
 	return out
 }
 
-// passes reports whether the preconditions of a transaction hold now.
-func (w *cluster) passes(t store.Txn) bool {
+// preconditionsHold reports whether the preconditions of a transaction hold now.
+func (w *cluster) preconditionsHold(t store.Txn) bool {
 	for _, g := range t.Preconditions {
 		it, err := w.store.Get(g.Key)
 		if err != nil {
@@ -290,11 +290,11 @@
 							var m met
 							p := writesPlan(d, seed+1)
 							if k.tokens {
-								p.Faults = append(p.Faults, anew...)
+								p.Faults = append(p.Faults, restartedWorkers...)
 							}
 							inner := way.fates(&m, k)
 							p.fates = func(c storeClient, t store.Txn) fate {
-								m.unnamed = append(m.unnamed, c.n.cluster.unnamed()...)
+								m.unnamed = append(m.unnamed, c.n.cluster.machinesWithoutRecord()...)
 								return inner(c, t)
 							}
 							out := Run(p, nil, 0)
