--- a/internal/simtest/guards_test.go
+++ b/internal/simtest/guards_test.go
@@ -109,8 +109,8 @@
 	return Submission{At: at, Shape: model.Array, Tasks: tasks, Zone: zone, Takes: takes}
 }
 
-// Each row is a schedule in which a rule breaks without a certain guard in the code. Neither drawn schedules nor the
-// rows of other tests showed that these guards are needed.
+// Guards that neither drawn schedules nor the rows of other tests showed to be needed. Each row is a schedule in which
+// a rule breaks without one of these guards.
 func TestGuards(t *testing.T) {
 	for _, c := range []struct {
 		name  string
