--- a/internal/simtest/idle_capacity_test.go
+++ b/internal/simtest/idle_capacity_test.go
@@ -7,24 +7,24 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// A task that waits for 90 s beside room for it breaks idle_room; one that lacks something does not.
-// Three machines stand in zones a, a and b, the last one a spot machine; jobs are of two tasks of
-// half a machine.
-func TestIdleRoom(t *testing.T) {
+// A task that waits for 90 s while there is free capacity for it breaks idle_room; a task that cannot run yet does not.
+// There are three machines in zones a, a and b, the last one a spot machine. Each job has two tasks that need half a
+// machine each.
+func TestIdleCapacityRule(t *testing.T) {
 	type at struct {
 		w *cluster
 		j *job
 		m []*worker
 	}
-	put := func(c at, m int, j *job, index int) *copyOf {
-		x := &copyOf{job: j, index: index, attempt: 1, on: true, state: model.TaskRunning}
+	put := func(c at, m int, j *job, index int) *taskAttempt {
+		x := &taskAttempt{job: j, index: index, attempt: 1, on: true, state: model.TaskRunning}
 		c.m[m].tasks = append(c.m[m].tasks, x)
 		return x
 	}
 	other := func(_ at, team string) *job {
 		return &job{id: "other", accepted: true, spec: &model.Job{ID: "other", Team: team, Shape: model.Array, Tasks: 9, Size: model.Size{CPUs: 2}}, finished: make([]bool, 9)}
 	}
-	fill := func(c at, tasks ...int) { // with tasks of a job that is not looked at
+	fill := func(c at, tasks ...int) { // places tasks of a job that is not checked
 		j, k := other(c, "free"), 0
 		for m, n := range tasks {
 			for range n {
@@ -38,7 +38,7 @@
 	for _, c := range []struct {
 		name, rule string
 		do         func(c at)
-		then       func(c at, now time.Duration) // at each look; nil: nothing
+		then       func(c at, now time.Duration) // called before each check; nil: nothing
 	}{
 		{"all waits beside empty machines", breaks, func(at) {}, nil},
 		{"one of two is on a machine", breaks, func(c at) { put(c, 0, c.j, 0) }, nil},
@@ -87,7 +87,7 @@
 		}
 		x := at{w, j, w.cloud.machines}
 		c.do(x)
-		waits := beside{}
+		waits := waitingSince{}
 		for now := time.Duration(0); now < idleFor; now += lookEvery {
 			if c.then != nil {
 				c.then(x, now)
@@ -105,18 +105,19 @@
 	}
 }
 
-// A schedule is played for long enough that idle_room can break, however short its jobs are.
-func TestLasts(t *testing.T) {
+// A schedule runs long enough for idle_room to break, however short its jobs are.
+func TestScheduleIsLongEnoughForIdleCapacityRule(t *testing.T) {
 	for seed := 1; seed <= 200; seed++ {
-		if p := OverlappingFaults.Example(seed); p.lasts() < p.calmFrom()+idleFor+20*sec || p.lasts() < p.bound() {
-			t.Errorf("seed %d: played for %v, troubles end after %v", seed, p.lasts(), p.ended())
+		if p := OverlappingFaults.Example(seed); p.playedUntil() < p.calmFrom()+idleFor+20*sec || p.playedUntil() < p.bound() {
+			t.Errorf("seed %d: played for %v, troubles end after %v", seed, p.playedUntil(), p.ended())
 		}
 	}
 }
 
-// Among whole controllers the rule breaks for a task that may run in any zone, by what is true, and
-// of which they were told that it may run only where nothing is free; not for one that it is true of.
-func TestIdleRoomIsSeen(t *testing.T) {
+// The idle_room rule also works with running controllers. A task was submitted with a restriction to zone a, where
+// nothing is free. The rule breaks if the task may in truth run in any zone, as zone b has free capacity, and holds if
+// the restriction is true.
+func TestIdleCapacityRuleWithRunningControllers(t *testing.T) {
 	for _, c := range []struct{ truth, want string }{{"a", ""}, {"", "idle_room"}} {
 		p := Plan{Seed: 3, Machines: 1, Lease: 10 * sec, Cancel: 24 * sec}
 		for i, zone := range []string{"a", "b", "a"} { // the machine in a is full, that in b half
@@ -131,7 +132,7 @@
 		}
 		w.sim.At(12*sec, func() { w.all[2].spec.Zone = c.truth })
 		w.watchIdleCapacity(p.ended())
-		for w.sim.Now() <= p.lasts() && w.sim.broken == "" {
+		for w.sim.Now() <= p.playedUntil() && w.sim.broken == "" {
 			w.sim.Step()
 		}
 		if w.sim.broken != c.want || w.starts != 3 {
--- a/internal/simtest/machines.go
+++ b/internal/simtest/machines.go
@@ -10,7 +10,7 @@
 	"github.com/marlwood/marlwood/internal/workers"
 )
 
-// The protocol's times, short, so that a schedule is short.
+// Durations of the protocol, shortened so that a schedule is short.
 const (
 	reportEvery = time.Second
 	gangWait    = 8 * time.Second
@@ -18,11 +18,12 @@
 	listLag     = 2 * time.Second
 )
 
-// cloud rents machines, up to a number at once of each kind, ordinary and spot.
+// cloud is the simulated cloud provider. It runs up to Plan.Machines machines at the same time per pool, ordinary
+// and spot machines counted separately.
 type cloud struct {
 	cluster        *cluster
 	place          *place
-	machines       []*worker // in order of their names
+	machines       []*worker // in the order of their names
 	launchRequests map[string][]string
 }
 
@@ -113,7 +114,7 @@
 	return out, nil
 }
 
-// worker is one machine, which follows the protocol to the letter.
+// worker is a simulated machine with a worker that follows the protocol exactly.
 type worker struct {
 	cluster    *cluster
 	place      *place
@@ -122,43 +123,43 @@
 	spot       bool
 	rented     time.Duration
 	ended      time.Duration
-	shown      time.Duration // how long it is listed after that
+	shown      time.Duration // how long the cloud still lists it after its end
 	up         bool
 	upAt       time.Duration
 	terminated bool
-	down       bool // ended, and back soon
-	life       int  // of the worker: how often the machine was back
+	down       bool // ended, and restarts soon
+	life       int  // number of restarts of the machine and its worker
 	hung       bool
-	hungAt     time.Duration // since when
-	stood      time.Duration // how long it hung, in all
-	queue      []func()      // what came while it hung
+	hungAt     time.Duration // when the current hang began
+	stood      time.Duration // total time that it hung
+	queue      []func()      // events that arrived while it hung
 	drift      float64
 
 	session, seq, token uint64
-	leased              time.Duration // when the last answered report was sent, or the session began
-	tasks               []*copyOf
+	leased              time.Duration // when the last answered heartbeat was sent, or the session began
+	tasks               []*taskAttempt
 	reportTo            int
-	sent                uint64 // number of the report that is awaited, 0: none
+	sent                uint64 // number of the heartbeat that awaits an answer, 0: none
 	reports             uint64
-	due                 time.Duration // the next report
-	mute                time.Duration // until then it reaches no controller, while direct calls reach it
-	reported            time.Duration // the last one
+	due                 time.Duration // when the next heartbeat is due
+	mute                time.Duration // until then it reaches no controller, but direct calls reach it
+	reported            time.Duration // when the last heartbeat was sent
 }
 
-// copyOf is one attempt of a task on a machine.
-type copyOf struct {
+// taskAttempt is one attempt of a task on a machine.
+type taskAttempt struct {
 	job     *job
 	index   int
 	attempt uint64
 	state   model.TaskState
 	cause   model.Cause
-	ranAt   time.Duration // since when it runs; 0: it does not
-	on      bool          // has its image and has not ended: it is on its machine
-	from    time.Duration // progress that it began with
-	reached time.Duration // progress when it began to save; 0: it did not
-	stored  bool          // has saved, and waits for its gang
-	saved   bool          // ended with its progress saved
-	caught  bool          // was saving when its job was cancelled
+	ranAt   time.Duration // when it began to run; 0: it is not running
+	on      bool          // whether it counts as on its machine: it has its image and has not ended
+	from    time.Duration // progress at its start
+	reached time.Duration // progress when it began to save; 0: it has not
+	stored  bool          // whether it has saved and waits for its gang
+	saved   bool          // whether it ended with its progress saved
+	caught  bool          // whether it was saving when the cancellation of its job was confirmed
 }
 
 func newWorker(w *cluster, name string, pool model.Pool, spot bool) *worker {
@@ -166,7 +167,7 @@
 		rented: w.sim.Now(), drift: (w.sim.Rand.Float64()*2 - 1) * 0.0005, reportTo: w.sim.Rand.IntN(len(w.nodes))}
 }
 
-// enter has the machine do something now, or when it hangs no more.
+// enter runs do on the machine now, or when the machine no longer hangs. A machine that has ended drops it.
 func (m *worker) enter(do func()) {
 	switch {
 	case m.terminated, m.down:
@@ -182,7 +183,7 @@
 		return
 	}
 	m.up, m.upAt = true, m.cluster.sim.Now()
-	m.cluster.sim.tell("%s is up in zone %s, spot %v", m.name, m.pool.Zone, m.spot)
+	m.cluster.sim.logf("%s is up in zone %s, spot %v", m.name, m.pool.Zone, m.spot)
 	m.newSession()
 	m.report()
 }
@@ -193,7 +194,7 @@
 
 func (m *worker) newSession() {
 	if len(m.tasks) > 0 {
-		m.cluster.sim.tell("%s kills its tasks: its lease is over", m.name)
+		m.cluster.sim.logf("%s kills its tasks: its lease is over", m.name)
 	}
 	for _, t := range m.tasks {
 		m.off(t)
@@ -205,8 +206,8 @@
 	m.kick()
 }
 
-// watchLease ends the session with its lease, hung or not: no machine resumes its
-// tasks after that.
+// watchLease ends the session when its lease expires, also while the machine hangs: no machine resumes its tasks
+// after that.
 func (m *worker) watchLease(session uint64) {
 	m.cluster.sim.At(m.leaseEnds(), func() {
 		switch {
@@ -219,12 +220,12 @@
 	})
 }
 
-// end takes the machine away with all that is on it.
+// end removes the machine and all its tasks.
 func (m *worker) end(why string) {
 	if m.terminated {
 		return
 	}
-	m.cluster.sim.tell("%s is %s", m.name, why)
+	m.cluster.sim.logf("%s is %s", m.name, why)
 	for _, t := range m.tasks {
 		if why == "stopped" && t.on && t.job.spec.Zone != "" {
 			m.cluster.met[MetZoneLoses]++
@@ -237,13 +238,13 @@
 	}
 }
 
-// back ends the machine with all that is on it; its worker begins anew soon after, under
-// the same name and address, and knows nothing.
-func (m *worker) back(after time.Duration) {
+// restart ends the machine and all its tasks. After the given time its worker restarts under the same name and address
+// with empty state.
+func (m *worker) restart(after time.Duration) {
 	if m.down {
 		return
 	}
-	m.cluster.sim.tell("%s is gone, for %v", m.name, after)
+	m.cluster.sim.logf("%s is gone, for %v", m.name, after)
 	for _, t := range m.tasks {
 		m.off(t)
 	}
@@ -254,7 +255,7 @@
 			return
 		}
 		m.down, m.session, m.token, m.due, m.reported = false, 0, 0, 0, 0
-		m.cluster.sim.tell("%s is back", m.name)
+		m.cluster.sim.logf("%s is back", m.name)
 		m.newSession()
 	})
 }
@@ -276,7 +277,7 @@
 	})
 }
 
-// message is the machine's report as of now.
+// message returns the machine's current heartbeat.
 func (m *worker) message() *model.Heartbeat {
 	m.seq++
 	r := &model.Heartbeat{Machine: m.name, Addr: m.name, Type: m.pool.Type, Zone: m.pool.Zone, Spot: m.spot,
@@ -287,7 +288,7 @@
 	return r
 }
 
-// kick has the next report come soon: something changed.
+// kick schedules the next heartbeat soon, because something changed.
 func (m *worker) kick() { m.schedule(max(m.cluster.sim.Now(), m.reported+500*time.Millisecond)) }
 
 func (m *worker) schedule(at time.Duration) {
@@ -302,7 +303,7 @@
 	})
 }
 
-// report sends a report, one at a time.
+// report sends a heartbeat, unless one still awaits its answer.
 func (m *worker) report() {
 	s := m.cluster.sim
 	if m.sent != 0 || !m.up || m.down {
@@ -326,7 +327,7 @@
 		})
 	}, nil)
 	if s.Now() < m.cluster.copies && s.Rand.IntN(3) == 0 {
-		s.After(s.Between(100*time.Millisecond, 3*m.cluster.plan.Lease), func() { // its answer reaches nobody
+		s.After(s.Between(100*time.Millisecond, 3*m.cluster.plan.Lease), func() { // the answer is dropped
 			n.process.Enter(func() { n.node.HandleHeartbeat(n.Now(), r, func(workers.HeartbeatResult) {}) })
 		})
 	}
@@ -340,7 +341,7 @@
 	}
 }
 
-// next goes to the next controller after a pause.
+// next switches to the next controller and sends the next heartbeat after a pause.
 func (m *worker) next(id uint64) {
 	const pause = time.Second
 	if m.sent != id {
@@ -372,40 +373,40 @@
 	m.sent = 0
 	m.schedule(sent + s.Between(m.cluster.plan.report()*3/4, m.cluster.plan.report()*5/4))
 	if v.Token < m.token {
-		return // dropped: neither orders nor lease
+		return // an answer with an older token is dropped: it neither carries out commands nor renews the lease
 	}
 	m.leased = max(m.leased, sent)
-	m.sees(v.Token)
-	m.obey(v.Commands)
+	m.observeToken(v.Token)
+	m.execute(v.Commands)
 }
 
-func (m *worker) sees(token uint64) {
+func (m *worker) observeToken(token uint64) {
 	if token > m.token {
 		m.token = token
 		m.kick()
 	}
 }
 
-// orders is a direct call.
-func (m *worker) orders(o model.DirectCommands) (int, *model.Heartbeat) {
+// handleDirectCall handles a direct call with commands.
+func (m *worker) handleDirectCall(o model.DirectCommands) (int, *model.Heartbeat) {
 	if o.Token < m.token || o.Session != m.session {
 		return 409, m.message()
 	}
 	if m.cluster.sim.Now() < m.mute {
 		m.cluster.met[MetCallToMute]++
 	}
-	m.sees(o.Token)
-	m.obey(o.Commands)
+	m.observeToken(o.Token)
+	m.execute(o.Commands)
 	return 200, m.message()
 }
 
-func (m *worker) find(job string, index int) (at *copyOf, same func(attempt uint64) *copyOf) {
+func (m *worker) find(job string, index int) (at *taskAttempt, same func(attempt uint64) *taskAttempt) {
 	for _, t := range m.tasks {
 		if t.job.id == job && t.index == index && t.state != model.TaskExited {
 			at = t
 		}
 	}
-	return at, func(attempt uint64) *copyOf {
+	return at, func(attempt uint64) *taskAttempt {
 		for _, t := range m.tasks {
 			if t.job.id == job && t.index == index && t.attempt == attempt {
 				return t
@@ -415,7 +416,7 @@
 	}
 }
 
-func (m *worker) obey(commands []model.Command) {
+func (m *worker) execute(commands []model.Command) {
 	for _, c := range commands {
 		id, index, _ := model.SplitTask(c.Task)
 		live, same := m.find(id, index)
@@ -425,14 +426,14 @@
 			if t != nil {
 				continue
 			}
-			t = &copyOf{job: m.cluster.jobs[id], index: index, attempt: c.Attempt, state: model.TaskFetching}
+			t = &taskAttempt{job: m.cluster.jobs[id], index: index, attempt: c.Attempt, state: model.TaskFetching}
 			if t.job == nil {
 				m.cluster.sim.breaks("invented", "%s is told to start %s, which nobody submitted", m.name, c.Task)
 				return
 			}
 			m.tasks = append(m.tasks, t)
 			m.cluster.startedOn(m, c.Task, c.Attempt)
-			m.cluster.sim.tell("%s is told to start %s, attempt %x", m.name, c.Task, c.Attempt)
+			m.cluster.sim.logf("%s is told to start %s, attempt %x", m.name, c.Task, c.Attempt)
 			switch {
 			case live != nil:
 				m.exit(t, model.CauseBusy)
@@ -456,8 +457,8 @@
 	}
 }
 
-// freeExcept is what is free for a task that is on the machine's list already.
-func (m *worker) freeExcept(but *copyOf) model.Size {
+// freeExcept returns the free capacity of the machine, not counting the given task, which is already on its list.
+func (m *worker) freeExcept(but *taskAttempt) model.Size {
 	room := machineType.Size
 	for _, t := range m.tasks {
 		if t != but && t.state != model.TaskExited {
@@ -467,7 +468,7 @@
 	return room
 }
 
-func (m *worker) has(t *copyOf) bool {
+func (m *worker) has(t *taskAttempt) bool {
 	for _, x := range m.tasks {
 		if x == t {
 			return !m.terminated && t.state != model.TaskExited
@@ -476,8 +477,8 @@
 	return false
 }
 
-// fetched begins a task that has its image.
-func (m *worker) fetched(t *copyOf) {
+// fetched handles the end of a task's image fetch: the task is on its machine from then on.
+func (m *worker) fetched(t *taskAttempt) {
 	if !m.has(t) {
 		return
 	}
@@ -511,8 +512,8 @@
 	})
 }
 
-func (m *worker) run(t *copyOf) {
-	t.state, t.ranAt, t.from = model.TaskRunning, m.cluster.sim.Now(), t.job.kept[t.part()]
+func (m *worker) run(t *taskAttempt) {
+	t.state, t.ranAt, t.from = model.TaskRunning, m.cluster.sim.Now(), t.job.kept[t.progressKey()]
 	m.cluster.attempts[t.job.spec.Team]++
 	m.kick()
 	if t.job.spec.Shape == model.Service {
@@ -543,14 +544,14 @@
 	})
 }
 
-func (m *worker) done(t *copyOf) {
+func (m *worker) done(t *taskAttempt) {
 	t.job.finished[t.index] = true
-	m.cluster.sim.tell("%s is done on %s", model.TaskName(t.job.id, t.index), m.name)
+	m.cluster.sim.logf("%s is done on %s", model.TaskName(t.job.id, t.index), m.name)
 	m.exit(t, model.CauseDone)
-	m.cluster.lastDone(t.job)
+	m.cluster.lastTaskDone(t.job)
 }
 
-func (m *worker) exit(t *copyOf, why model.Cause) {
+func (m *worker) exit(t *taskAttempt, why model.Cause) {
 	if t.state == model.TaskExited {
 		return
 	}
@@ -559,19 +560,19 @@
 	m.kick()
 }
 
-// off takes a task off its machine. The rest of a running gang notices.
-func (m *worker) off(t *copyOf) {
+// off removes a task from its machine. The other tasks of a running gang exit when they notice that.
+func (m *worker) off(t *taskAttempt) {
 	if !t.on {
 		return
 	}
 	t.on = false
 	w := m.cluster
-	w.lose(t)
+	w.recordTaskLoss(t)
 	if t.ranAt > 0 {
 		w.used[t.job.spec.Team] += time.Duration(float64(w.sim.Now()-t.ranAt) * t.job.spec.Size.CPUs)
 		t.ranAt = 0
 	}
-	w.left(m, t)
+	w.removePlaced(m, t)
 	if t.job.spec.Shape != model.Gang || t.cause == model.CauseDone {
 		return
 	}
