--- a/internal/api/submit_test.go
+++ b/internal/api/submit_test.go
@@ -142,7 +142,7 @@
 	for _, c := range []struct {
 		name, body string
 		status     int
-		says       string
+		wantInBody string
 	}{
 		{"whole", whole, http.StatusCreated, ""},
 		{"unknown fields and fields in other case", strings.TrimSuffix(whole, "}") + `,"later":[1],"CPUS":"x","Shape":null}`, http.StatusCreated, ""},
@@ -166,7 +166,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			server, fake := setupZones(t)
 			a := server.Submit(context.Background(), []byte(c.body))
-			if a.Status != c.status || !strings.Contains(string(a.Body), c.says) {
+			if a.Status != c.status || !strings.Contains(string(a.Body), c.wantInBody) {
 				t.Errorf("status %d: %s", a.Status, a.Body)
 			}
 			if (len(fake.keys) > 0) != (c.status == http.StatusCreated) {
@@ -187,10 +187,10 @@
 
 // validationCase is one row of TestSubmissionValidation.
 type validationCase struct {
-	name    string
-	changes map[string]string
-	status  int
-	says    string // part of the answer: the fields or the team that a rejection names
+	name       string
+	changes    map[string]string
+	status     int
+	wantInBody string // part of the answer: the fields or the team that a rejection names
 }
 
 // validationCases are jobs that can run in the deployment of setupZones and jobs that never can.
@@ -252,7 +252,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			server, fake := setupZones(t)
 			a := server.Submit(context.Background(), submission(c.changes))
-			if a.Status != c.status || !strings.Contains(string(a.Body), c.says) {
+			if a.Status != c.status || !strings.Contains(string(a.Body), c.wantInBody) {
 				t.Errorf("status %d: %s", a.Status, a.Body)
 			}
 			if (len(fake.keys) > 0) != (c.status == http.StatusCreated) {
@@ -273,7 +273,8 @@
 	unknown int // status of the answer if the job is unknown
 }
 
-// repeatCases are submissions and changes; most keep a new submission from being accepted.
+// repeatCases are submissions, some with a change to the server or the store. Most would be rejected if the job were
+// new.
 var repeatCases = []repeatCase{
 	{"machine types unknown", wholeSubmission, func(server *Server, _ *fakeStore) {
 		server.options.Types = func() map[string]model.MachineType { return nil }
@@ -303,8 +304,8 @@
 	{"not UTF-8", strings.Replace(wholeSubmission, "img-07", "\xff", 1), nil, http.StatusBadRequest},
 }
 
-// The repeat of a known job, also of one in a final stage, is answered with 200 and the job's status even if a new
-// submission would not be accepted. The same submission of an unknown job gets the status of its row.
+// Resubmitting a known job, even a finished one, returns 200 and the job's status, also if a new submission would not
+// be accepted. The same submission of an unknown job returns the status in its row.
 func TestRepeatOfKnownJob(t *testing.T) {
 	ctx := context.Background()
 	for _, c := range repeatCases {
--- a/internal/autoscaler/capacity.go
+++ b/internal/autoscaler/capacity.go
@@ -7,8 +7,8 @@
 	"github.com/marlwood/marlwood/internal/placement"
 )
 
-// minSilentMachines is the minimum number of known machines for which a zone can be found
-// silent, and limits launches in a zone in which no machine is known to be up.
+// minSilentMachines is the minimum number of known machines that a zone needs to be found silent. It also limits
+// launches in a zone in which no machine is known to be up.
 const minSilentMachines = 3
 
 // capacityModel estimates the cloud's capacity, which the cloud does not publish. A refusal
@@ -18,7 +18,7 @@
 	held        map[Market]int
 	heldByZone  map[string]int
 	refused     map[Market]refusal
-	silentZones map[string]time.Time // last time it was found silent, or of the last launch request there
+	silentZones map[string]time.Time // when the zone was last found silent, or when a launch was last requested there
 	zonesSeenUp map[string]bool      // zones in which a machine was up in this term
 }
 
@@ -47,9 +47,9 @@
 // zones (TestSilentZoneDetection).
 //
 // Guard: a machine that sends no heartbeats and that the cloud has never listed is not
-// counted. Heartbeats that a partition had delayed make machines known again that were
-// terminated in the meantime. Three of them made a zone appear silent for more than a
-// minute, during which nothing was launched there (seed 31030852; TestSilentZoneDetection).
+// counted. Heartbeats delayed by a partition make terminated machines known again. Three
+// of them made a zone appear silent for more than a minute, during which nothing was
+// launched there (seed 31030852; TestSilentZoneDetection).
 func (c *capacityModel) update(
 	machines *model.Table[string, *placement.Machine],
 	booting *model.Table[string, *bootingMachine],
--- a/internal/controller/cloud_calls.go
+++ b/internal/controller/cloud_calls.go
@@ -13,7 +13,7 @@
 	firstTypesDelay = 20 * time.Second
 )
 
-// cloudCalls queues a term's calls to the cloud, of which one is in flight at a time, and schedules the
+// cloudCalls queues a term's calls to the cloud and sends one at a time. It also schedules the
 // reads of machines and machine types. Only the event loop uses it.
 type cloudCalls struct {
 	queue    []func()
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -225,8 +225,8 @@
 	return placement.JobCounts{}, false
 }
 
-// HandleRound handles a leader's message, on the loop, and passes the response to reply. The response is nil
-// until this process has read the leader key.
+// HandleRound handles the leader's message of one round, on the loop, and passes the response to reply. The
+// response is nil until this process has read the leader key.
 func (c *Controller) HandleRound(now time.Time, request *peerspb.RoundRequest, reply func(*peerspb.RoundResponse)) {
 	if c.elector.MinToken() == 0 { // see workers.Registry.RejectTokensBelow
 		reply(nil)
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -246,7 +246,7 @@
 	s.state.Refuse(true)
 	resp, err := client.Post("http://"+s.addrs[0]+"/api/jobs", "application/json", strings.NewReader(job("late", "batch", 1)))
 	if err != nil || resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == "" {
-		s.Errorf("in an outage: %v, %v", resp, err)
+		s.Errorf("submission in an outage: %v, %v", resp, err)
 	}
 	s.state.Refuse(false)
 	if s.cloud.Running() != 2 {
@@ -254,7 +254,8 @@
 	}
 }
 
-// stopKnownLeader stops the leader, which must be known, and returns the indices of the remaining controllers.
+// stopKnownLeader stops the leader, fails the test if no leader was known, and returns the indices of the remaining
+// controllers.
 func (s *testCluster) stopKnownLeader() (left []int) {
 	s.Helper()
 	leader, token := s.nodes[0].leader()
@@ -265,20 +266,21 @@
 		}
 	}
 	if len(left) != 2 || token == 0 {
-		s.Fatalf("leader %q under token %d", leader, token)
+		s.Fatalf("want two remaining controllers and a known leader; leader %q under token %d", leader, token)
 	}
 	return left
 }
 
-// finishAfterTakeover checks that the remaining controllers run a new job, cancel a running one and know a done one.
+// finishAfterTakeover checks that the remaining controllers run a new job, cancel a running one and
+// still report a finished one.
 func (s *testCluster) finishAfterTakeover() {
 	s.Helper()
 	if status, v := s.request("POST", "/api/jobs", job("after", "batch", 5)); status != 201 {
-		s.Fatalf("after the loss: %d %v", status, v)
+		s.Fatalf("submission after the loss of the leader: %d %v", status, v)
 	}
 	s.waitForJob("after", done)
 	if status, v := s.request("POST", "/api/jobs/stays/cancel", ""); status != 200 || v["stage"] != "aborted" {
-		s.Errorf("cancel: %d %v", status, v)
+		s.Errorf("cancellation after the loss of the leader: %d %v", status, v)
 	}
 	deadline := time.Now().Add(8 * time.Second)
 	for s.cloud.Running() > 0 {
@@ -288,7 +290,7 @@
 		s.request("GET", "/api/jobs/stays", "")
 	}
 	if status, v := s.request("GET", "/api/jobs/array", ""); status != 200 || !done(v) {
-		s.Errorf("state of the done job: %v", v)
+		s.Errorf("state of the finished job: %v", v)
 	}
 	if broken := s.cloud.Broken(); len(broken) > 0 {
 		s.Errorf("ran twice: %v", broken)
--- a/internal/controller/drain_requests.go
+++ b/internal/controller/drain_requests.go
@@ -199,8 +199,8 @@
 	return drain.Deadline.Sub(drain.Since)
 }
 
-// answerRepeatedDrain handles a request for a target that is drained already. A request that is the same as the
-// first one waits like it; a different one is refused.
+// answerRepeatedDrain handles a request for a target that is drained already. An identical request waits
+// together with the first; a different one is refused.
 func (t *leaderTerm) answerRepeatedDrain(now time.Time, drain *placement.Drain, recorded store.Item, reply operatorReply) {
 	var existing placement.Drain
 	if err := json.Unmarshal(recorded.Value, &existing); err != nil {
--- a/internal/controller/links_test.go
+++ b/internal/controller/links_test.go
@@ -90,7 +90,7 @@
 		name  string
 		steps []*peerspb.RoundResponse // nil: no answer
 	}{
-		{"it reports a later order as the last of all", []*peerspb.RoundResponse{roundResponse("second", 7, 99)}},
+		{"it reports a later order as the last one applied", []*peerspb.RoundResponse{roundResponse("second", 7, 99)}},
 		{"a message goes unanswered first", []*peerspb.RoundResponse{nil, roundResponse("second", 7, 99)}},
 		{"several messages go unanswered first", []*peerspb.RoundResponse{nil, nil, nil, roundResponse("second", 7, 99)}},
 		{"it restarts again", []*peerspb.RoundResponse{roundResponse("third", 7, 0), roundResponse("third", 7, 99)}},
@@ -118,13 +118,13 @@
 		boot := peer.bootID
 		term.handleRoundResponse(peer, 8, time.Now(), roundResponse(boot, 8, id), nil)
 		if term.scheduler.Jobs().At("j").Bound() != 0 {
-			t.Errorf("%s: a report under the fresh token does not decide the start", c.name)
+			t.Errorf("%s: the start is still undecided after a report under the fresh token", c.name)
 		}
 	}
 }
 
-// The clock reading in every answer may be the start of a delegated lease, also in the first answer of a process. If
-// that one is not counted, the leader considers the lease expired while the process still answers under it.
+// A delegated lease may start at the clock reading of any answer, including a process's first. If the leader ignored
+// the first, it would consider the lease expired while the process still answers under it.
 func TestEveryAnswerCountsAsLeaseStart(t *testing.T) {
 	for _, boot := range []string{"first", "second"} {
 		term, peer, _ := newLeadingTerm(t)
--- a/internal/controller/owner_reachability.go
+++ b/internal/controller/owner_reachability.go
@@ -46,7 +46,7 @@
 }
 
 // ownerReachability holds the pairs of controller and pool whose state is not ownerReached. It is the only record
-// of which pools' machines cannot reach which controllers, and belongs to the loop.
+// of which pools' machines cannot reach which controllers; only the loop uses it.
 type ownerReachability map[poolMember]poolReachability
 
 // setState changes the state of a controller for a pool. All changes of a state go through it.
--- a/internal/httpwire/client.go
+++ b/internal/httpwire/client.go
@@ -83,7 +83,7 @@
 	c.idle = nil
 }
 
-// ErrNotSent is the error of a request that never left this process.
+// ErrNotSent is the error of a request that was not sent.
 var ErrNotSent = errors.New("httpwire: request not sent")
 
 // takeConn returns an idle connection, or opens one.
--- a/internal/leadership/elector.go
+++ b/internal/leadership/elector.go
@@ -18,7 +18,8 @@
 //
 // Outcomes may be reported late and in any order. An action without a response may have been executed, so its
 // outcome is unknown until the next read of the key. The parameter sent is always the time at which the
-// request was sent, because the response may show the store's state as early as that.
+// request was sent, not when its response arrived: the response may show the store's state as of any time in
+// between.
 //
 // # Transitions
 //
@@ -33,10 +34,10 @@
 //
 // # Invariant
 //
-// HoldsLease returns true for no longer than Options.ValidFor after the older of the last successful check of
-// the key and the last complete view of the jobs. The bound depends only on the local clock, so it expires
-// without any event. Another process may have been elected meanwhile; the fencing token then decides whose
-// orders are executed. Token never decreases while the process leads.
+// HoldsLease becomes false at the latest when Options.ValidFor has passed since the last successful check of the
+// key, or since the last complete view of the jobs, whichever was earlier. The limit depends only on the local
+// clock, so it takes effect without any event. Another process may have been elected meanwhile; the
+// fencing token then decides whose orders are executed. Token never decreases while the process leads.
 package leadership
 
 import (
@@ -80,7 +81,7 @@
 	renewing    bool   // the leader is rewriting its own key to get a new token
 
 	highestToken uint64 // highest token observed anywhere
-	minToken     uint64 // lower tokens were superseded when this process first read the key; 0: no read yet
+	minToken     uint64 // lower tokens were superseded when this process first read the key; 0: key not read yet
 
 	lastCheck    time.Time // send time of the last request whose response showed that this process holds the key
 	lastJobsView time.Time // send time of the last request whose response showed all jobs and cancellations
@@ -360,8 +361,8 @@
 	}
 }
 
-// KeepAliveDone reports the outcome of a KeepAlive. If the lease has expired, the key is gone with it; a read
-// becomes due at once to confirm that.
+// KeepAliveDone reports the outcome of a KeepAlive. If the lease has expired, the store has deleted the key too; a
+// read becomes due at once to confirm that.
 func (e *Elector) KeepAliveDone(now time.Time, leaseExpired bool) {
 	e.keepAliveInFlight = false
 	if leaseExpired && e.state == Leading {
--- a/internal/model/model.go
+++ b/internal/model/model.go
@@ -41,7 +41,7 @@
 }
 
 // Share returns the dominant share of s in a capacity: the largest ratio of use to capacity
-// among the resources of which there is any capacity.
+// over the resources with non-zero capacity.
 func (s Size) Share(capacity Size) float64 {
 	share := 0.0
 	if capacity.CPUs > 0 {
--- a/internal/operators/client.go
+++ b/internal/operators/client.go
@@ -32,7 +32,7 @@
 	if cert == "" {
 		for _, a := range addrs {
 			if err := checkLoopback(a); err != nil {
-				return nil, fmt.Errorf("%w; for others give --ca, --cert and --key", err)
+				return nil, fmt.Errorf("%w; other addresses need --ca, --cert and --key", err)
 			}
 		}
 	} else {
--- a/internal/placement/drain_check.go
+++ b/internal/placement/drain_check.go
@@ -76,7 +76,7 @@
 	return n
 }
 
-// remainingPools returns the pools of which the drain doesn't cover every machine.
+// remainingPools returns the pools whose machines are not all covered by the drain.
 func (d *Drain) remainingPools(pools []model.Pool) []model.Pool {
 	var remaining []model.Pool
 	for _, pool := range pools {
--- a/internal/placement/explain.go
+++ b/internal/placement/explain.go
@@ -285,7 +285,7 @@
 // countOf returns the text for n of a total.
 func countOf(n, total int) string { return strconv.Itoa(n) + " of " + strconv.Itoa(total) }
 
-// sizeText returns the text for a size. Resources of which the size has none are left out.
+// sizeText returns the text for a size. Resources that are zero are omitted.
 func sizeText(s model.Size) string {
 	var parts []string
 	for _, resource := range []struct {
--- a/internal/placement/gang_claims.go
+++ b/internal/placement/gang_claims.go
@@ -18,13 +18,14 @@
 	claimTooLarge bool               // the claim is too large to be stored
 }
 
-// claimable reports whether a claim for a gang is to be stored before the given number of its members is ordered.
+// claimable reports whether a claim for a gang must be stored before the given number of its members is ordered.
 // A gang of one member can't be started in part, and needs no claim.
 func (cs *ClusterState) claimable(job *Job, members int) bool {
 	return members > 1 && members == job.Spec.Tasks && members <= cs.opt.ClaimPieces && !job.oversized && !job.claimTooLarge
 }
 
-// claim binds the members of a gang without ordering them, and requests that a claim on their machines is stored.
+// claim binds the members of a gang to machines and requests that a claim on these be stored. The start orders follow
+// once it is stored.
 func (cs *ClusterState) claim(now time.Time, job *Job, attempt uint64, tasks []*Task) {
 	machines := make([]string, job.Spec.Tasks)
 	for _, task := range tasks {
@@ -64,7 +65,7 @@
 	}
 	for _, other := range j.bound.All() {
 		if other.state == model.TaskRunning {
-			j.claim.Release() // the gang had started: the other members notice, and return to their last checkpoint
+			j.claim.Release() // the gang had started: its other members detect the loss and restart from their last checkpoint
 			return
 		}
 	}
@@ -99,7 +100,7 @@
 	case job.claim.State == reservation.Requested, job.claim.State == reservation.Starting && !job.anyHeldByClaim():
 		return true
 	case !job.claim.MayRepair(now, cs.opt.GangWait):
-		// Guard: no machine is launched for a gang of which some members are bound. Without this time
+		// Guard: no machine is launched for a gang if some members are bound. Without this time
 		// limit, the members of a gang held their machines for one member that found none anywhere
 		// (simtest, seed 220000008).
 		return false
--- a/internal/placement/job_records.go
+++ b/internal/placement/job_records.go
@@ -12,10 +12,11 @@
 	AcceptedMS int64      `json:"accepted_ms"`
 	Started    bool       `json:"started,omitempty"`
 	Finished   string     `json:"finished,omitempty"`
-	Count      int        `json:"count,omitempty"`
+	Count      int        `json:"count,omitempty"`   // number of finished tasks
 	Running    int        `json:"running,omitempty"` // running tasks at the time of the write, for display
 
-	Claim *reservation.Record `json:"claim,omitempty"` // of a gang whose members are not all running; versions before 0.5 ignore it
+	// Claim is the claim of a gang whose members are not all running yet. Versions before 0.5 ignore it.
+	Claim *reservation.Record `json:"claim,omitempty"`
 }
 
 // FinalJobRecord is the stored form of a job that is finished or cancelled, under done/<id>.
--- a/internal/placement/limits.go
+++ b/internal/placement/limits.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// configuredLimit returns the configured limit of a job's team, of which other regions may have a share at the moment.
+// configuredLimit returns the configured limit of a job's team. Other regions may have a share of it at the moment.
 //
 // Guard: estimates of how long a job uses up its team's limit were divided by the part of the limit that the
 // team has in this region at the moment. Where that part was close to zero the estimates overflowed, and the job
--- a/internal/placement/reserved_capacity.go
+++ b/internal/placement/reserved_capacity.go
@@ -29,9 +29,9 @@
 			}
 		case reservation.class != "" && job.boostedInOverload: // warm headroom is kept for jobs that may arrive later
 		case own.precedes(reservation, now):
-			// Guard: when both jobs have capacity reserved here, a part of which is still held by a task
-			// that writes its checkpoint, each reservation kept the other job from the capacity that was
-			// already free. When the checkpoint was written, the task's job took the capacity again and
+			// Guard: when both jobs have capacity reserved on this machine and a checkpointing task still
+			// holds part of it, each reservation blocked the other job from using the part that was already
+			// free. When the checkpoint was written, the task's job took the capacity again and
 			// was preempted again, forever (simulation seed 7200007027: idle_room). Therefore the job
 			// whose reservation is at least as strict uses the free capacity first.
 		case id != job.Spec.ID && reservation.class != job.Spec.Class && reservation.rank >= job.effectivePriority:
--- a/internal/placement/round_capacity_test.go
+++ b/internal/placement/round_capacity_test.go
@@ -9,8 +9,8 @@
 	"github.com/marlwood/marlwood/internal/model"
 )
 
-// crowdedBench returns a cluster with a number of small machines and a big one, of which a job uses all but one
-// CPU. addHead adds the jobs at the head of the queue.
+// crowdedBench returns a cluster with a number of small machines and a big one. A job uses all but one CPU of
+// the big one. addHead adds the jobs at the head of the queue.
 func crowdedBench(t testing.TB, small int, addHead func(b bench)) bench {
 	t.Helper()
 	b := newBench(t)
@@ -109,8 +109,8 @@
 	}
 }
 
-// BenchmarkCrowdedRound measures a round with a queue of which hardly any job can be placed, while a capacity
-// event occurs in every round.
+// BenchmarkCrowdedRound measures a round with a queue in which hardly any job can be placed, while a
+// capacity event occurs in every round.
 func BenchmarkCrowdedRound(t *testing.B) {
 	for _, machines := range []int{1000, 16000} {
 		t.Run(fmt.Sprintf("machines=%d/jobs=10000", machines), func(t *testing.B) {
--- a/internal/placement/tasks.go
+++ b/internal/placement/tasks.go
@@ -116,9 +116,9 @@
 		task.stopping, task.grace, task.stopToken = true, 0, 0
 	}
 	if state == model.TaskSaving && !task.stopping {
-		// Guard: a task that checkpoints without a stop of ours was stopped by an earlier leader. Without this, the
-		// leader treated it as a task that has not started, and a drain stopped it without the time to checkpoint that
-		// it had been given.
+		// Guard: a task that checkpoints although this leader sent no stop was stopped by an earlier leader. Without
+		// this, the leader treated it as a task that has not started, and a drain stopped it without granting the
+		// checkpoint time that the earlier leader had granted.
 		task.stopping, task.grace, task.stopToken = true, graceFor(job.Spec), cs.token
 	}
 	if task.stopping && task.stopToken != cs.token {
--- a/internal/record/lines.go
+++ b/internal/record/lines.go
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// partialBlock is a block of which the last pieces are still to be read.
+// partialBlock is a block whose last pieces are still to be read.
 type partialBlock struct {
 	entry  []byte
 	pieces int
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -160,7 +160,7 @@
 	ends          []int64           // offsets of the ends of the blocks in the file
 }
 
-// eventCount counts the events of blocks, of which the first frame is a state.
+// eventCount counts the events of blocks whose first frame is a state.
 func eventCount(blocks []*recordpb.Block) (n int64) {
 	for _, b := range blocks {
 		n += int64(b.Frames)
--- a/internal/replay/figures.go
+++ b/internal/replay/figures.go
@@ -21,7 +21,7 @@
 // Figures are the statistics of a group's jobs on one day. Times are in seconds; NaN is written as null.
 type Figures struct {
 	Jobs      int `json:"jobs"`
-	Started   int `json:"started"` // jobs of which all tasks have started
+	Started   int `json:"started"` // jobs whose tasks have all started
 	Done      int `json:"done"`
 	Cancelled int `json:"cancelled"`
 	// Percentiles of the time from the submission until all tasks have started, and until the job is done.
@@ -115,8 +115,8 @@
 // Order measures how similar the start order of the jobs is on two days.
 type Order struct {
 	Jobs int // started on both
-	// Pairs counts the pairs of jobs of which one started more than a second earlier in the
-	// recording; Turned counts how many of these started in the opposite order.
+	// Pairs counts the pairs of jobs whose start times in the recording differ by more than a
+	// second; Turned counts how many of these started in the opposite order.
 	Pairs, Turned int
 	Worst         time.Duration // longest time between the recorded starts of a reversed pair
 	Off           Sample        // differences between the first starts of a job, in seconds
--- a/internal/replay/report.go
+++ b/internal/replay/report.go
@@ -237,7 +237,7 @@
 // plotStep is the interval between the points of plots over time.
 const plotStep = 2 * time.Second
 
-// lines adds lines to a plot, each in another colour.
+// lines adds lines to a plot, each in a different colour.
 func lines(p *plot.Plot, names []string, points []plotter.XYs) error {
 	for i, xy := range points {
 		if len(xy) == 0 {
--- a/internal/replay/whatif.go
+++ b/internal/replay/whatif.go
@@ -67,8 +67,8 @@
 // OrderAnswer measures how closely simulations under the recorded rules reproduce the start order.
 type OrderAnswer struct {
 	Jobs   int           `json:"jobs"`
-	Pairs  int           `json:"pairs"`  // of which one started more than a second earlier
-	Turned int           `json:"turned"` // started in the opposite order
+	Pairs  int           `json:"pairs"`  // pairs of jobs whose start times differ by more than a second
+	Turned int           `json:"turned"` // pairs that started in the opposite order
 	Worst  time.Duration `json:"worst_ns"`
 	OffP50 float64       `json:"off_p50_s"`
 	OffP90 float64       `json:"off_p90_s"`
--- a/internal/scale/links.go
+++ b/internal/scale/links.go
@@ -78,7 +78,7 @@
 	return u
 }
 
-// add adds a region's samples, and checks the limits for each time of which all regions have reported a sample.
+// add adds a region's samples, and checks the limits for each time for which every region has reported a sample.
 func (u *globalUsage) add(samples []UseSample) {
 	for _, s := range samples {
 		if u.used[s.AtMS] == nil {
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -90,7 +90,7 @@
 }
 
 // TestTeamLimitOverAllRegions checks that a team above its limit in all regions together is reported, and only for a
-// time of which all regions have reported a sample.
+// time for which every region has reported a sample.
 func TestTeamLimitOverAllRegions(t *testing.T) {
 	p := planRegion(Options{Share: 1, For: time.Minute}, 0)
 	team := p.Teams[0]
--- a/internal/scale/truth.go
+++ b/internal/scale/truth.go
@@ -26,15 +26,15 @@
 	longest   time.Duration // longest time without a task start
 }
 
-// jobTruth is the actual state of a job on the machines, and what its user was told about it.
+// jobTruth is the actual state of a job on the machines, and the state that was reported to its user.
 type jobTruth struct {
-	zones     map[string]int  // number of its tasks on machines, by zone
-	on        int             // number of its tasks on machines
-	done      map[string]bool // ids of its completed tasks
-	cancelled time.Time       // when its user learned that it was cancelled; zero: not yet
-	told      model.Stage     // the last final stage that its user was told
-	submitted time.Time       // when its user first sent it
-	began     time.Duration   // time from submission to the start of its first task; 0: none has started
+	zones         map[string]int  // number of its tasks on machines, by zone
+	on            int             // number of its tasks on machines
+	done          map[string]bool // ids of its completed tasks
+	cancelled     time.Time       // when its user learned that it was cancelled; zero: not yet
+	reportedStage model.Stage     // final stage last reported to its user
+	submitted     time.Time       // when its user first sent it
+	began         time.Duration   // time from submission to the start of its first task; 0: none has started
 }
 
 func newTruth(p Plan) *truth {
@@ -139,13 +139,13 @@
 	t.job(id).submitted = at
 }
 
-// answered checks and records the stage that a user was told. tasks is the number of tasks of the job.
+// answered checks and records the stage that was reported to a user. tasks is the number of tasks of the job.
 func (t *truth) answered(id string, tasks int, stage model.Stage, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	j := t.job(id)
-	if j.told.Final() && stage != j.told {
-		t.recordViolation("went_back", "%s is called %s after %s", id, stage, j.told)
+	if j.reportedStage.Final() && stage != j.reportedStage {
+		t.recordViolation("went_back", "%s is called %s after %s", id, stage, j.reportedStage)
 	}
 	if stage == model.Done && len(j.done) < tasks {
 		t.recordViolation("not_done", "%s is called done, %d of %d tasks are", id, len(j.done), tasks)
@@ -154,7 +154,7 @@
 		j.cancelled = at
 	}
 	if stage.Final() {
-		j.told = stage
+		j.reportedStage = stage
 	}
 }
 
--- a/internal/simtest/plan.go
+++ b/internal/simtest/plan.go
@@ -335,8 +335,8 @@
 	return out
 }
 
-// served reports whether all faults have ended, all users have been told that their jobs are over, and no task is
-// on a machine.
+// served reports whether all faults have ended, every user has received the final stage of their jobs, and no
+// task is on a machine.
 func (w *cluster) served() bool {
 	if w.sim.Now() < w.plan.calmFrom() {
 		return false
--- a/internal/simtest/small_test.go
+++ b/internal/simtest/small_test.go
@@ -182,7 +182,7 @@
 }
 
 // After many small jobs the leader's state is no larger than after a few, the three controllers allocate no more in a
-// quiet minute, and the leader has told the owners to forget the size of every job.
+// quiet minute, and the leader has instructed the owners to forget the size of every job.
 func TestFinishedSmallJobsLeaveNoState(t *testing.T) {
 	left := func(length time.Duration) (jobs, bytes int, allocated float64, known int) {
 		tap := &sizes{}
--- a/internal/simtest/unanswered_drain_test.go
+++ b/internal/simtest/unanswered_drain_test.go
@@ -14,7 +14,7 @@
 	"github.com/marlwood/marlwood/internal/store"
 )
 
-// A zone that an operator is told is not drained is not drained, and nothing drains it later.
+// If an operator is told that a zone is not drained, it is not drained, and no earlier request drains it later.
 //
 // The answer to a drain's write was lost, and the outcome could not be read from the state service. The operator ended
 // the drain and was told at once "zone/c is not drained; marlwood drains lists what is", because the leader only
--- a/internal/store/budgets.go
+++ b/internal/store/budgets.go
@@ -60,10 +60,10 @@
 // Urgent marks the calls that leader election depends on. They do not wait for a budget and use separate
 // connections. The election's poll interval bounds their rate.
 //
-// Guard: without the mark, reads of the leader key queue behind users' queries, and attempts to write it queue
-// behind users' writes. Users who queried a leader for jobs that nobody had submitted made it lose its
-// leadership; with a slow store the twelve shared connections were always in use. TestUrgentCallsAreNotDelayed
-// covers both cases.
+// Guard: without Urgent, reads of the leader key queue behind users' queries, and attempts to write it queue
+// behind users' writes. When users queried the leader about jobs that nobody had submitted, its own reads were
+// delayed until it lost its leadership; with a slow store the twelve shared connections were always in use.
+// TestUrgentCallsAreNotDelayed covers both cases.
 func Urgent(ctx context.Context) context.Context { return context.WithValue(ctx, urgentKey{}, true) }
 
 func isUrgent(ctx context.Context) bool { return ctx.Value(urgentKey{}) != nil }
--- a/internal/workers/acknowledge_test.go
+++ b/internal/workers/acknowledge_test.go
@@ -78,7 +78,7 @@
 		registry.HandleHeartbeat(at(1.2), newHeartbeat(1, 1, 5, running("j/1")))
 		return registry.HandleHeartbeat(at(1.7), newHeartbeat(1, 2, 5, running("j/1"), running("j/2")))
 	}},
-	{name: "the leader has sent a round but not acknowledged the tasks for too long", steps: func(registry *Registry) HeartbeatResult {
+	{name: "the leader has sent a round, but has gone too long without acknowledging the tasks", steps: func(registry *Registry) HeartbeatResult {
 		registry.HandleHeartbeat(at(1), newHeartbeat(1, 1, 0, running("j/1")))
 		registry.HandleRound(at(2.4), newRound(5, 10))
 		return registry.HandleHeartbeat(at(2.6), newHeartbeat(1, 1, 0, running("j/1")))
@@ -104,15 +104,15 @@
 		registry.HandleRound(at(1.2), newRound(6, 10))
 		return registry.HandleHeartbeat(at(1.3), newHeartbeat(1, 2, 5, running("j/1")))
 	}},
-	{name: "a new token, within the grace after the last leader's read of the jobs", steps: func(registry *Registry) HeartbeatResult {
+	{name: "a new token, within the grace period after the previous leader's last read of the jobs", steps: func(registry *Registry) HeartbeatResult {
 		takeOverAfterJobRead(registry, false)
 		return registry.HandleHeartbeat(at(15.9), newHeartbeat(1, 2, 5, running("j/1")))
 	}},
-	{name: "a new token, after the grace", pending: true, steps: func(registry *Registry) HeartbeatResult {
+	{name: "a new token, after the grace period", pending: true, steps: func(registry *Registry) HeartbeatResult {
 		takeOverAfterJobRead(registry, false)
 		return registry.HandleHeartbeat(at(16.1), newHeartbeat(1, 2, 5, running("j/1")))
 	}},
-	{name: "a new token, with a stop of the last leader not executed", pending: true, steps: func(registry *Registry) HeartbeatResult {
+	{name: "a new token, and a stop sent by the previous leader has not been executed", pending: true, steps: func(registry *Registry) HeartbeatResult {
 		takeOverAfterJobRead(registry, true)
 		return registry.HandleHeartbeat(at(15.9), newHeartbeat(1, 2, 5, running("j/1")))
 	}},
--- a/internal/workers/calls.go
+++ b/internal/workers/calls.go
@@ -13,9 +13,9 @@
 	Token     uint64
 	Epoch     uint64
 	Commands  []model.Command
-	Deadline  time.Time // the lease ends then: the call must not be sent later
+	Deadline  time.Time // end of the lease; the call must not be sent after it
 	id        uint64
-	lastKnown heartbeatVersion // of the machine's newest heartbeat when the call was made
+	lastKnown heartbeatVersion // version of the machine's newest heartbeat when the call was created
 }
 
 // CallOutcome is the outcome of a direct call.
@@ -37,8 +37,8 @@
 type directCallState struct {
 	inFlight   uint64 // id of the call in flight, or 0
 	failed     bool   // the last call failed: no further call before the next heartbeat
-	tokenSent  bool   // a heartbeat that did not show our token was answered with our token
-	unanswered bool   // a call went unanswered since the machine last showed our token
+	tokenSent  bool   // a heartbeat that did not carry our token was answered with our token
+	unanswered bool   // a call went unanswered since the machine last sent our token
 }
 
 // tokenUndelivered reports whether an answer with our token and a direct call have both had no visible effect.
--- a/internal/workers/heartbeat.go
+++ b/internal/workers/heartbeat.go
@@ -104,15 +104,15 @@
 	machine := reg.machines.At(heartbeat.Machine)
 	if machine == nil {
 		machine = reg.add(&machineState{name: heartbeat.Machine, pool: pool, terminationNotice: noTermination})
-	} else if result, done := reg.answerUnapplied(now, machine, heartbeat); done {
+	} else if result, done := reg.answerWithoutApplying(now, machine, heartbeat); done {
 		return result
 	}
 	return reg.acceptHeartbeat(now, machine, heartbeat)
 }
 
-// answerUnapplied answers a heartbeat of a known machine whose content must not be applied. done is
-// false for a heartbeat that must be applied.
-func (reg *Registry) answerUnapplied(now time.Time, machine *machineState, heartbeat *model.Heartbeat) (result HeartbeatResult, done bool) {
+// answerWithoutApplying answers a heartbeat of a known machine if the heartbeat must not be applied.
+// Otherwise done is false.
+func (reg *Registry) answerWithoutApplying(now time.Time, machine *machineState, heartbeat *model.Heartbeat) (result HeartbeatResult, done bool) {
 	switch {
 	case machine.agent.endedEpoch > 0 && heartbeat.Session <= machine.agent.endedEpoch:
 		// Guard: the end of this epoch was reported to the leader. An answer would extend the
@@ -120,7 +120,7 @@
 		reg.scheduleProbe(machine, heartbeat)
 		return refused(), true
 	case machine.agent.restarted:
-		reg.recordContact(now, machine) // its content is ignored until the next token
+		reg.recordContact(now, machine) // the heartbeat's content is ignored until the next token
 		return reg.accepted(machine.stopCommands()), true
 	case machine.acknowledgement.isWaiting(machine.newest, heartbeat):
 		return reg.respond(now, machine, heartbeat), true // it was applied when it arrived
@@ -135,7 +135,7 @@
 // acceptHeartbeat applies the newest heartbeat of a machine and answers it.
 func (reg *Registry) acceptHeartbeat(now time.Time, machine *machineState, heartbeat *model.Heartbeat) HeartbeatResult {
 	changeBefore := reg.lastChange
-	reg.recordContact(now, machine) // a lease may run from when it was sent, answered or not
+	reg.recordContact(now, machine) // the worker's lease may start when it sent this heartbeat, even if it gets no answer
 	machine.directCall.failed = false
 	// A worker has only one heartbeat in flight, so this one shows the effect of every earlier answer.
 	// A direct call's response does not, because an answer may still be on its way to the worker.
